--- a/bench/src/matrix/pausable-clock.ts
+++ b/bench/src/matrix/pausable-clock.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { type Clock, sleepOn } from "@zinniahill/kernel";
+import { type Clock, sleepUsing } from "@zinniahill/kernel";
 
 /**
  * Runs on a shared clock. While it is paused no timer fires and no reply is
@@ -35,7 +35,7 @@
   }
 
   sleep(ms: number, signal?: AbortSignal): Promise<void> {
-    return sleepOn(this, ms, signal);
+    return sleepUsing(this, ms, signal);
   }
 
   schedule(ms: number, callback: () => void): () => void {
--- a/bench/src/platform-demo.ts
+++ b/bench/src/platform-demo.ts
@@ -56,7 +56,7 @@
     console.log(`groups open again: 2, orders given: ${orders}`);
     return before && during;
   } finally {
-    await Promise.all(nodes.map((node) => node.end()));
+    await Promise.all(nodes.map((node) => node.stopImmediately()));
     fleet.stop();
   }
 }
--- a/packages/kernel/src/bounded-sink.ts
+++ b/packages/kernel/src/bounded-sink.ts
@@ -22,7 +22,7 @@
   #pending: Buffer[] = [];
   #pendingBytes = 0;
   #isWriting = false;
-  #dropped = 0;
+  #droppedLines = 0;
 
   constructor(descriptor: number, maxBytes: number = MAX_PENDING_BYTES) {
     super({ decodeStrings: false });
@@ -31,8 +31,8 @@
   }
 
   /** Lines that were dropped so far. */
-  get dropped(): number {
-    return this.#dropped;
+  get droppedLines(): number {
+    return this.#droppedLines;
   }
 
   override _write(
@@ -42,7 +42,7 @@
   ): void {
     const bytes = Buffer.from(line, TEXT_ENCODER);
     if (this.#pendingBytes + bytes.length > this.#maxBytes) {
-      this.#dropped++;
+      this.#droppedLines++;
     } else {
       this.#pending.push(bytes);
       this.#pendingBytes += bytes.length;
@@ -82,7 +82,7 @@
       setTimeout(() => this.#writeAll(bytes), RETRY_MS).unref();
       return;
     }
-    this.#dropped++;
+    this.#droppedLines++;
     this.#pendingBytes -= bytes.length;
     this.#isWriting = false;
   }
--- a/packages/kernel/src/clock.ts
+++ b/packages/kernel/src/clock.ts
@@ -27,7 +27,7 @@
   }
 
   sleep(ms: number, signal?: AbortSignal): Promise<void> {
-    return sleepOn(this, ms, signal);
+    return sleepUsing(this, ms, signal);
   }
 
   schedule(ms: number, callback: () => void): () => void {
@@ -37,7 +37,7 @@
 }
 
 /** Waits on a clock's scheduled callback, or rejects when aborted first. */
-export function sleepOn(
+export function sleepUsing(
   clock: Pick<Clock, "schedule">,
   ms: number,
   signal?: AbortSignal,
--- a/packages/kernel/src/index.ts
+++ b/packages/kernel/src/index.ts
@@ -4,13 +4,13 @@
  * @module
  */
 export { BoundedSink } from "./bounded-sink.ts";
-export { type Clock, sleepOn, SystemClock } from "./clock.ts";
+export { type Clock, sleepUsing, SystemClock } from "./clock.ts";
 export { Condition } from "./condition.ts";
 export { DeadlineError, withDeadline } from "./deadline.ts";
-export { Kernel, KernelError, type Provision } from "./kernel.ts";
+export { Kernel, KernelError, type Provider } from "./kernel.ts";
 export {
-  type Field,
   type Fields,
+  type FieldValue,
   formatLine,
   formatValue,
   type Level,
--- a/packages/kernel/src/kernel.ts
+++ b/packages/kernel/src/kernel.ts
@@ -11,32 +11,32 @@
 }
 
 /** How one service is created, and the names that must exist before it. */
-export interface Provision<Directory, Name extends keyof Directory> {
-  readonly needs: readonly (keyof Directory & string)[];
+export interface Provider<Directory, Name extends keyof Directory> {
+  readonly dependencies: readonly (keyof Directory & string)[];
   readonly create: (kernel: Kernel<Directory>) => Directory[Name];
 }
 
-type AnyProvision<Directory> = Provision<Directory, keyof Directory>;
+type AnyProvider<Directory> = Provider<Directory, keyof Directory>;
 
 /**
  * Holds services by name, starts them in order of need and stops them in
  * reverse. `Directory` maps each service name to its type.
  */
 export class Kernel<Directory> {
-  #provisions = new Map<keyof Directory & string, AnyProvision<Directory>>();
+  #providers = new Map<keyof Directory & string, AnyProvider<Directory>>();
   #services = new Map<keyof Directory & string, Service>();
   #started: (keyof Directory & string)[] = [];
 
   /** Registers how a service is created. A name can be provided once. */
   provide<Name extends keyof Directory & string>(
     name: Name,
-    needs: readonly (keyof Directory & string)[],
+    dependencies: readonly (keyof Directory & string)[],
     create: (kernel: Kernel<Directory>) => Directory[Name],
   ): this {
-    if (this.#provisions.has(name)) {
+    if (this.#providers.has(name)) {
       throw new KernelError(`service "${name}" is provided twice`);
     }
-    this.#provisions.set(name, { needs, create });
+    this.#providers.set(name, { dependencies, create });
     return this;
   }
 
@@ -53,7 +53,7 @@
   async start(): Promise<void> {
     const order = this.#orderByNeed();
     for (const name of order) {
-      const provision = this.#provisions.get(name)!;
+      const provision = this.#providers.get(name)!;
       this.#services.set(name, provision.create(this) as Service);
     }
     for (const name of order) {
@@ -99,18 +99,18 @@
       if (visiting.has(name)) {
         throw new KernelError(`services need each other: ${chain.join(" > ")}`);
       }
-      const provision = this.#provisions.get(name);
+      const provision = this.#providers.get(name);
       if (provision === undefined) {
         throw new KernelError(`missing service: ${chain.join(" > ")}`);
       }
       visiting.add(name);
-      for (const need of provision.needs) {
+      for (const need of provision.dependencies) {
         visit(need, chain);
       }
       visiting.delete(name);
       order.push(name);
     };
-    for (const name of this.#provisions.keys()) {
+    for (const name of this.#providers.keys()) {
       visit(name, []);
     }
     return order;
--- a/packages/kernel/src/logger.ts
+++ b/packages/kernel/src/logger.ts
@@ -8,11 +8,11 @@
 import { type Clock, SystemClock } from "./clock.ts";
 
 /** Values that a log line can hold. */
-export type Field = string | number | boolean | undefined;
+export type FieldValue = string | number | boolean | undefined;
 
 /** The named values of one event. */
 export interface Fields {
-  readonly [key: string]: Field;
+  readonly [key: string]: FieldValue;
 }
 
 /** Severity of an event, in the order of `winston`. */
@@ -39,7 +39,7 @@
 const BARE_VALUE = /^[A-Za-z0-9_.:\/@+-]+$/;
 
 /** Formats one value; quotes it where a reader could not split the line. */
-export function formatValue(value: Field): string {
+export function formatValue(value: FieldValue): string {
   const text = String(value);
   return BARE_VALUE.test(text) ? text : JSON.stringify(text);
 }
@@ -146,10 +146,10 @@
         this.#log("warn", "log_lines_left_out", { of: event, lines: dropped });
       }
     }
-    const { dropped } = this.#sink;
-    if (dropped > this.#reportedDrops) {
-      const lines = dropped - this.#reportedDrops;
-      this.#reportedDrops = dropped;
+    const { droppedLines } = this.#sink;
+    if (droppedLines > this.#reportedDrops) {
+      const lines = droppedLines - this.#reportedDrops;
+      this.#reportedDrops = droppedLines;
       this.#log("warn", "log_lines_left_out", { of: "stalled output", lines });
     }
   }
--- a/packages/kernel/src/manual-clock.ts
+++ b/packages/kernel/src/manual-clock.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { type Clock, sleepOn } from "./clock.ts";
+import { type Clock, sleepUsing } from "./clock.ts";
 
 interface Timer {
   readonly due: number;
@@ -29,7 +29,7 @@
   }
 
   sleep(ms: number, signal?: AbortSignal): Promise<void> {
-    return sleepOn(this, ms, signal);
+    return sleepUsing(this, ms, signal);
   }
 
   schedule(ms: number, callback: () => void): () => void {
--- a/packages/kernel/test/logger.test.ts
+++ b/packages/kernel/test/logger.test.ts
@@ -74,7 +74,7 @@
       }
       expect(clock.now() - began).toBeLessThan(2000);
       await settle();
-      expect(sink.dropped).toBeGreaterThan(5000);
+      expect(sink.droppedLines).toBeGreaterThan(5000);
       // Reading the pipe lets the write that still waits end.
       const drain = spawnSync("head", ["-c", "60000", pipe]);
       expect(drain.stdout.length).toBeGreaterThan(0);
--- a/packages/node/test/calls/fixture.ts
+++ b/packages/node/test/calls/fixture.ts
@@ -9,7 +9,7 @@
   Kernel,
   ManualClock,
   SeededRandom,
-  sleepOn,
+  sleepUsing,
 } from "@zinniahill/kernel";
 import type { Log } from "@zinniahill/clients";
 import { ServiceRule } from "@zinniahill/schema";
@@ -48,7 +48,7 @@
   }
 
   sleep(ms: number, signal?: AbortSignal): Promise<void> {
-    return sleepOn(this, ms, signal);
+    return sleepUsing(this, ms, signal);
   }
 
   schedule(ms: number, callback: () => void): () => void {
--- a/packages/node/test/groups/fleet.ts
+++ b/packages/node/test/groups/fleet.ts
@@ -7,7 +7,7 @@
   type Clock,
   ManualClock,
   SeededRandom,
-  sleepOn,
+  sleepUsing,
 } from "@zinniahill/kernel";
 import { createCoreNode, type NodeKernel } from "@zinniahill/node";
 import {
@@ -58,7 +58,7 @@
   }
 
   sleep(ms: number, signal?: AbortSignal): Promise<void> {
-    return sleepOn(this, ms, signal);
+    return sleepUsing(this, ms, signal);
   }
 
   schedule(ms: number, callback: () => void): () => void {
--- a/packages/schema/src/index.ts
+++ b/packages/schema/src/index.ts
@@ -24,7 +24,7 @@
   RelayedMessage,
   SnapshotMessage,
   SnapshotRequestMessage,
-  TreePlaceTuple,
+  TreePositionTuple,
   UsageMessage,
   UsageTotalMessage,
 } from "./peer.ts";
--- a/packages/schema/src/peer.ts
+++ b/packages/schema/src/peer.ts
@@ -26,7 +26,7 @@
 });
 
 /** A node's place in the tree along which totals travel; see `PeerTree`. */
-export const TreePlaceTuple = z.tuple([
+export const TreePositionTuple = z.tuple([
   /** Root. */
   z.string(),
   /** Wave of the root. */
@@ -49,7 +49,7 @@
   load: z.number(),
   stopping: z.boolean(),
   /** Present when not every node is connected to every other one. */
-  tree: TreePlaceTuple.optional(),
+  tree: TreePositionTuple.optional(),
 });
 /** Sent at a fixed interval in both directions. */
 export type HeartbeatMessage = z.infer<typeof HeartbeatMessage>;
--- a/packages/schema/src/rules.ts
+++ b/packages/schema/src/rules.ts
@@ -11,11 +11,11 @@
   createListSchema,
   Duration,
   Name,
+  Percentage,
+  PositiveNumber,
   Rank,
   RANKS,
   Rate,
-  Share,
-  Weight,
 } from "./values.ts";
 
 /** The target, floor and worth of one rank. */
@@ -23,9 +23,9 @@
   name: Rank,
   "first-token": Duration,
   "token-gap": Duration.default(64),
-  floor: Share,
-  worth: Weight,
-  retries: Share.default(0.1),
+  floor: Percentage,
+  worth: PositiveNumber,
+  retries: Percentage.default(0.1),
 });
 /** The target, floor and worth of one rank. */
 export type RankRule = z.infer<typeof RankRule>;
@@ -51,7 +51,7 @@
 export const AccountRule = z.strictObject({
   name: Name,
   key: KeyHash,
-  weight: Weight.default(1),
+  weight: PositiveNumber.default(1),
   ranks: createListSchema(Rank).default(["normal"]),
   requests: Rate,
   tokens: Rate,
--- a/packages/schema/src/values.ts
+++ b/packages/schema/src/values.ts
@@ -48,7 +48,7 @@
 });
 
 /** A share such as `20%`, as a fraction of 1. */
-export const Share = z.string().regex(
+export const Percentage = z.string().regex(
   /^\d+(\.\d+)?%$/,
   "expected a share in per cent, such as 20%",
 ).transform((text) => Number.parseFloat(text) / 100)
@@ -65,7 +65,7 @@
   .transform(Number);
 
 /** A positive number, written in digits. */
-export const Weight = z.string().regex(
+export const PositiveNumber = z.string().regex(
   /^\d+(\.\d+)?$/,
   "expected a positive number",
 ).transform(Number).refine((weight) => weight > 0, "expected more than 0");
