--- a/bench/src/policy/affinity.ts
+++ b/bench/src/policy/affinity.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Random } from "@zinniahill/kernel";
-import { type PrefixStore, TailStore } from "@zinniahill/policy";
+import { DeepestFirstStore, type PrefixStore } from "@zinniahill/policy";
 import { EVICTIONS } from "./eviction.ts";
 import { Fleet, GROUPS } from "./fleet.ts";
 import { writeFigure } from "../report.ts";
@@ -73,7 +73,7 @@
       load,
       FULL,
       seed,
-      () => new TailStore(INDEX_SIZE),
+      () => new DeepestFirstStore(INDEX_SIZE),
     );
     for (const [name, createStore] of Object.entries(EVICTIONS)) {
       const other = await run(
@@ -104,7 +104,7 @@
   load: number,
   variant: Variant,
   seed = SEED,
-  createPrefixStore = () => new TailStore() as PrefixStore,
+  createPrefixStore = () => new DeepestFirstStore() as PrefixStore,
 ): Promise<Run> {
   const rules = createRules();
   const fleet = new Fleet({
--- a/bench/src/policy/cost.ts
+++ b/bench/src/policy/cost.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { ManualClock, SeededRandom, SystemClock } from "@zinniahill/kernel";
-import { Admission, Routing } from "@zinniahill/policy";
+import { Admission, LoadBalancer } from "@zinniahill/policy";
 import { writeFigure } from "../report.ts";
 import { createRules } from "./rules.ts";
 
@@ -36,7 +36,7 @@
 }
 
 function measureRouting(runners: number): number {
-  const routing = new Routing(new ManualClock(), new SeededRandom(SEED));
+  const routing = new LoadBalancer(new ManualClock(), new SeededRandom(SEED));
   const groups = Math.ceil(runners / RUNNERS_PER_GROUP);
   const candidates = Array.from({ length: groups }, (_, index) => ({
     group: `g${index}`,
--- a/bench/src/policy/eviction.ts
+++ b/bench/src/policy/eviction.ts
@@ -9,8 +9,8 @@
  */
 import type { PrefixStore } from "@zinniahill/policy";
 
-/** Uses are halved after this many notes, so that old ones fade. */
-const AGEING_NOTES = 500;
+/** Uses are halved after this many additions, so that old ones fade. */
+const AGEING_ADDITIONS = 500;
 const PROTECTED_SHARE = 0.8;
 
 /** Drops the least recently used prefix first. */
@@ -26,7 +26,7 @@
     return this.#held.has(hash);
   }
 
-  note(prefix: readonly string[]): void {
+  add(prefix: readonly string[]): void {
     // The shortest prefix becomes the most recent one, because the longer ones
     // are of no use without it.
     for (const hash of prefix.toReversed()) {
@@ -50,7 +50,7 @@
 class FrequencyStore implements PrefixStore {
   #capacity: number;
   #uses = new Map<string, number>();
-  #notes = 0;
+  #additions = 0;
 
   constructor(capacity: number) {
     this.#capacity = capacity;
@@ -60,14 +60,14 @@
     return this.#uses.has(hash);
   }
 
-  note(prefix: readonly string[]): void {
+  add(prefix: readonly string[]): void {
     for (const hash of prefix.toReversed()) {
       const uses = this.#uses.get(hash) ?? 0;
       this.#uses.delete(hash);
       this.#uses.set(hash, uses + 1);
     }
-    this.#notes++;
-    if (this.#notes % AGEING_NOTES === 0) {
+    this.#additions++;
+    if (this.#additions % AGEING_ADDITIONS === 0) {
       this.#uses.forEach((uses, hash) => this.#uses.set(hash, uses / 2));
     }
     while (this.#uses.size > this.#capacity) {
@@ -107,12 +107,12 @@
     return this.#protected.has(hash) || this.#probation.has(hash);
   }
 
-  note(prefix: readonly string[]): void {
+  add(prefix: readonly string[]): void {
     const known = prefix.filter((hash) => this.has(hash));
     const fresh = prefix.filter((hash) => !this.has(hash));
     known.forEach((hash) => this.#probation.remove(hash));
-    this.#protected.note(known);
-    this.#probation.note(fresh);
+    this.#protected.add(known);
+    this.#probation.add(fresh);
   }
 
   remove(hash: string): void {
--- a/bench/src/policy/fifo-gate.ts
+++ b/bench/src/policy/fifo-gate.ts
@@ -52,12 +52,12 @@
   #createPermit(): Permit {
     return {
       priority: 0,
-      yielded: new AbortController().signal,
+      yieldSignal: new AbortController().signal,
       resume: () =>
         Promise.resolve(
           Result.err(new Refusal("overloaded", "may-have-run", "no resume")),
         ),
-      noteFirstToken: () => {},
+      recordFirstToken: () => {},
       release: () => {
         this.#inFlight--;
         this.#admitWaiting();
--- a/bench/src/policy/fleet.ts
+++ b/bench/src/policy/fleet.ts
@@ -7,11 +7,11 @@
 import {
   Admission,
   Capacity,
+  LoadBalancer,
   type Permit,
   PrefixIndex,
   RetryBudget,
   type RouteCandidate,
-  Routing,
 } from "@zinniahill/policy";
 import { BenchEngine, type CacheEvent } from "./engine.ts";
 import { type BenchGate, FifoGate } from "./fifo-gate.ts";
@@ -21,7 +21,7 @@
 interface Node {
   readonly gate: BenchGate;
   readonly capacity: Capacity;
-  readonly routing: Routing;
+  readonly routing: LoadBalancer;
   readonly budget: RetryBudget;
   readonly dataCentre: string;
   candidates: RouteCandidate[];
@@ -104,7 +104,7 @@
     }
     let permit: Permit = admitted.value;
     this.admitted++;
-    node.budget.noteFirst(request.rank);
+    node.budget.deposit(request.rank);
     let served = 0;
     let servedBefore = 0;
     let lastAt = startedAt;
@@ -116,7 +116,7 @@
       } else {
         recorder.onGap(request, seenAt - lastAt);
       }
-      permit.noteFirstToken();
+      permit.recordFirstToken();
       served++;
       lastAt = seenAt;
       recorder.onToken(request);
@@ -171,14 +171,14 @@
       let measuredAt = this.clock.now();
       const noteGap = (ms: number) => {
         if (this.#options.variant.ejection) {
-          node.routing.noteTokenGap(group, ms);
+          node.routing.recordTokenGap(group, ms);
         }
       };
       let cancelDeadline = () => {};
       const finish = (end: "done" | "yielded" | "failed") => {
         hasEnded = true;
         cancelDeadline();
-        permit.yielded.removeEventListener("abort", onYield);
+        permit.yieldSignal.removeEventListener("abort", onYield);
         // Without a first token the time was spent in the queue of the engine,
         // which says nothing of its speed.
         if (end === "failed" && seen > 0) {
@@ -223,7 +223,7 @@
         },
         onEnd: () => finish("done"),
       };
-      permit.yielded.addEventListener("abort", onYield, { once: true });
+      permit.yieldSignal.addEventListener("abort", onYield, { once: true });
       const target = this.#options.rules.ranks[request.rank]["first-token"];
       expectProgress(Math.max(PROGRESS_DEADLINE_MS, target));
       this.clock.schedule(crossMs, () => {
@@ -236,7 +236,7 @@
 
   #mayRetry(node: Node, request: BenchRequest, attempt: number): boolean {
     return attempt < MAX_ATTEMPTS &&
-      (!this.#options.variant.budget || node.budget.tryTake(request.rank));
+      (!this.#options.variant.budget || node.budget.tryWithdraw(request.rank));
   }
 
   #choose(
@@ -273,7 +273,7 @@
     return {
       gate,
       capacity,
-      routing: new Routing(
+      routing: new LoadBalancer(
         this.clock,
         this.#random,
         new PrefixIndex(this.#options.createPrefixStore),
@@ -310,7 +310,7 @@
     }
     this.clock.schedule(CACHE_EVENT_DELAY_MS, () => {
       for (const { routing } of this.nodes) {
-        routing.prefixes.correct(group, event);
+        routing.prefixes.applyCacheEvent(group, event);
       }
     });
   }
--- a/bench/src/policy/limits.ts
+++ b/bench/src/policy/limits.ts
@@ -123,7 +123,7 @@
         if (isSent) {
           clock.schedule(
             DELAY_MS,
-            () => nodes[to]!.noteReport(`n${from}`, sequence, report, rules),
+            () => nodes[to]!.applyReport(`n${from}`, sequence, report, rules),
           );
         }
       });
@@ -154,7 +154,7 @@
     requests: count.requests / allowed,
     firstHalf: count.firstHalf / (allowed / 2),
     streams: count.peak / rule.streams,
-    remembered: Math.max(...nodes.map(({ accounts }) => accounts)),
+    remembered: Math.max(...nodes.map(({ accountCount }) => accountCount)),
   };
 }
 
--- a/packages/node/src/groups/scope-controller.ts
+++ b/packages/node/src/groups/scope-controller.ts
@@ -10,11 +10,11 @@
   type Departure,
   isDrainDue,
   listReplicas,
-  listSurplus,
+  listSurplusGroups,
   type PlacedGroup,
   placeReplacement,
   planGroups,
-  type ReplicaInput,
+  type PlanInput,
 } from "@zinniahill/policy";
 import type { GroupState, Host, ModelRule, Settings } from "@zinniahill/schema";
 import type { NodeKernel } from "../services.ts";
@@ -99,7 +99,7 @@
   }
 
   async #drainSurplus(lease: HeldLease, signal: AbortSignal): Promise<void> {
-    const surplus = listSurplus(this.#listModels(), this.#listGroups());
+    const surplus = listSurplusGroups(this.#listModels(), this.#listGroups());
     for (const group of surplus) {
       if (group.scope === lease.scope) {
         await this.#drain(group, lease, signal);
@@ -247,7 +247,7 @@
     }
   }
 
-  #createInput(): ReplicaInput {
+  #createInput(): PlanInput {
     return {
       models: this.#listModels(),
       groups: this.#listGroups(),
--- a/packages/node/src/peers/usage-exchange.ts
+++ b/packages/node/src/peers/usage-exchange.ts
@@ -8,7 +8,7 @@
 import {
   type AccountUsage,
   PeerTree,
-  type TreePlace,
+  type TreePosition,
   UsageTotals,
 } from "@zinniahill/policy";
 import {
@@ -32,7 +32,7 @@
   readonly node: string;
   /** Silence after which the root of the tree is lost. */
   readonly deadlineMs: number;
-  /** Interval of the waves of the root. */
+  /** Interval at which the root increases its sequence. */
   readonly heartbeatMs: number;
   listConnected(): ReadonlySet<string>;
   send(node: string, bytes: Uint8Array): void;
@@ -55,7 +55,7 @@
     this.#owner = owner;
     this.#tree = new PeerTree(
       owner.node,
-      this.#createWave(),
+      this.#createRootSequence(),
       owner.deadlineMs,
       clock.now(),
     );
@@ -63,8 +63,8 @@
 
   /** This node's place in the tree, for its heartbeats. */
   get place(): Place {
-    const { root, wave, depth, parent } = this.#tree.place;
-    return [root, wave, depth, parent];
+    const { root, rootSequence, depth, parent } = this.#tree.position;
+    return [root, rootSequence, depth, parent];
   }
 
   /** Neighbours along the tree. */
@@ -73,21 +73,25 @@
   }
 
   /** Takes in the place of a neighbour. */
-  notePlace(node: string, [root, wave, depth, parent]: Place): void {
-    const before = this.#tree.place;
-    this.#tree.note(node, { root, wave, depth, parent }, this.#clock.now());
+  notePlace(node: string, [root, rootSequence, depth, parent]: Place): void {
+    const before = this.#tree.position;
+    this.#tree.updateNeighbour(
+      node,
+      { root, rootSequence, depth, parent },
+      this.#clock.now(),
+    );
     this.#noticeMove(before);
   }
 
   /** Notes what this node's callers used since the last report. */
   noteOwn(accounts: readonly AccountUsage[]): void {
-    this.#totals.noteOwn(accounts);
+    this.#totals.addOwnUsage(accounts);
   }
 
   /** Notes what a neighbour reports of its side of the tree. */
   noteTotal(node: string, message: PeerMessageOf<"usage-total">): void {
     this.#updateLinks();
-    this.#totals.noteLink(
+    this.#totals.addLinkUsage(
       node,
       message.accounts.map(([account, requests, tokens, streams, users]) => ({
         account,
@@ -102,15 +106,15 @@
   /** Keeps this node's place in the tree until the node stops. */
   async keepPlace(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      const before = this.#tree.place;
-      this.#tree.keep(this.#owner.listConnected());
-      this.#tree.advance(this.#createWave(), this.#clock.now());
+      const before = this.#tree.position;
+      this.#tree.retain(this.#owner.listConnected());
+      this.#tree.advance(this.#createRootSequence(), this.#clock.now());
       this.#noticeMove(before);
       await this.#clock.sleep(this.#owner.heartbeatMs, signal);
     }
   }
 
-  /** Sends totals until the node stops; apart from waves, as it is paced. */
+  /** Sends totals until the node stops; a task of its own, as it is paced. */
   async passTotals(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const pauseMs = this.#sendTotals() * 1000 / SENT_BYTES_PER_SECOND;
@@ -119,21 +123,21 @@
     }
   }
 
-  /** A restarted root needs a higher wave than its last process had. */
-  #createWave(): number {
+  /** A restarted root needs a higher sequence than its last process had. */
+  #createRootSequence(): number {
     return Math.floor(this.#clock.wallTime() / this.#owner.heartbeatMs);
   }
 
-  #noticeMove({ root, parent }: TreePlace): void {
-    const { place } = this.#tree;
-    if (place.root !== root || place.parent !== parent) {
+  #noticeMove({ root, parent }: TreePosition): void {
+    const { position } = this.#tree;
+    if (position.root !== root || position.parent !== parent) {
       this.moved.notify();
     }
   }
 
   #updateLinks(): void {
-    this.#tree.keep(this.#owner.listConnected());
-    const { parent } = this.#tree.place;
+    this.#tree.retain(this.#owner.listConnected());
+    const { parent } = this.#tree.position;
     this.#totals.setLinks(this.#tree.links, parent);
   }
 
@@ -142,7 +146,7 @@
     this.#updateLinks();
     let bytes = 0;
     for (const node of this.#tree.links) {
-      const accounts = this.#totals.takeFor(node);
+      const accounts = this.#totals.takeUsageFor(node);
       if (accounts !== undefined) {
         const message = encodePeerMessage({
           kind: "usage-total",
@@ -162,7 +166,7 @@
   }
 
   #reportOthers(): void {
-    const accounts = this.#totals.takeOthers();
+    const accounts = this.#totals.takeRemoteUsage();
     if (accounts !== undefined) {
       this.#sequence++;
       this.#owner.report({ kind: "usage", sequence: this.#sequence, accounts });
--- a/packages/node/src/serving/admission-control.ts
+++ b/packages/node/src/serving/admission-control.ts
@@ -69,7 +69,7 @@
   start(): void {
     const { "probe-interval": probeIntervalMs } = this.#settings.timing;
     this.#peers.onMessage("usage", (node, { sequence, accounts }) => {
-      this.#limits.noteReport(node, sequence, accounts, this.#accounts);
+      this.#limits.applyReport(node, sequence, accounts, this.#accounts);
     });
     this.#peers.reportLoad(() => this.load);
     this.#tasks.repeat("observe_capacity", probeIntervalMs, () => {
@@ -109,31 +109,31 @@
       this.#limits.end(account, tokens, 0);
       return admitted;
     }
-    this.#budget.noteFirst(rank);
+    this.#budget.deposit(rank);
     return Result.ok(this.#limitPermit(request, admitted.value));
   }
 
   /** Takes one retry from the rank's budget; false when there is none. */
   mayRetry(rank: Rank): boolean {
-    return this.#budget.tryTake(rank);
+    return this.#budget.tryWithdraw(rank);
   }
 
   /** Takes a retry for an urgent idempotent request's parallel attempt. */
   mayHedge(rank: Rank, isIdempotent: boolean): boolean {
-    return this.#budget.tryHedge(rank, isIdempotent);
+    return this.#budget.tryWithdrawHedge(rank, isIdempotent);
   }
 
   /** The pause before a retry, with full jitter; the first has number 1. */
   drawRetryPauseMs(retry: number): number {
-    return this.#budget.drawPauseMs(retry);
+    return this.#budget.drawBackoffMs(retry);
   }
 
   dump(): unknown {
     return {
       inFlight: this.#admission.inFlight,
       limit: this.#admission.limit,
-      slots: this.#capacity.total,
-      accounts: this.#limits.accounts,
+      slots: this.#capacity.totalSlots,
+      accounts: this.#limits.accountCount,
     };
   }
 
@@ -149,15 +149,15 @@
       let isResumed = false;
       return {
         priority: permit.priority,
-        get yielded() {
-          return permit.yielded;
+        get yieldSignal() {
+          return permit.yieldSignal;
         },
         resume: async (signal) => {
           const resumed = await permit.resume(signal);
           isResumed = resumed.isOk;
           return resumed.map(wrap);
         },
-        noteFirstToken: () => permit.noteFirstToken(),
+        recordFirstToken: () => permit.recordFirstToken(),
         release: (served) => {
           permit.release(served);
           if (hasEnded) {
--- a/packages/node/src/serving/lookup.ts
+++ b/packages/node/src/serving/lookup.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Clock, Random, Service } from "@zinniahill/kernel";
-import { chooseEntry, type EntryCandidate } from "@zinniahill/policy";
+import { chooseEntryNode, type EntryNode } from "@zinniahill/policy";
 import { type LookupReply, Refusal, type Settings } from "@zinniahill/schema";
 import type { Lifecycle } from "../lifecycle.ts";
 import type { Peer, Peers } from "../peers/peers.ts";
@@ -42,7 +42,7 @@
    */
   find(dataCentre: string | undefined): LookupReply {
     const candidates = this.#listCandidates();
-    const chosen = chooseEntry(candidates, dataCentre, this.#random);
+    const chosen = chooseEntryNode(candidates, dataCentre, this.#random);
     if (chosen === undefined) {
       throw new Refusal(
         "stopping",
@@ -56,7 +56,7 @@
   }
 
   /** Nodes that serve; this one if no node is known to. */
-  #listCandidates(): EntryCandidate[] {
+  #listCandidates(): EntryNode[] {
     const { node } = this.#settings;
     const own = {
       address: node["public-address"],
--- a/packages/node/src/serving/place.ts
+++ b/packages/node/src/serving/place.ts
@@ -24,7 +24,7 @@
 
   /** Aborts when the request must give its place to urgent work. */
   get yielded(): AbortSignal {
-    return this.#permit.yielded;
+    return this.#permit.yieldSignal;
   }
 
   /** Counts tokens that the caller received. */
@@ -34,7 +34,7 @@
 
   /** Says that the first token of an attempt has come. */
   noteFirstToken(): void {
-    this.#permit.noteFirstToken();
+    this.#permit.recordFirstToken();
   }
 
   /** Waits for a new place after a yield; can be repeated after a refusal. */
--- a/packages/node/src/serving/router.ts
+++ b/packages/node/src/serving/router.ts
@@ -6,16 +6,16 @@
 import type { Clock, Random, Service } from "@zinniahill/kernel";
 import {
   createPromptHasher,
+  LoadBalancer,
   type PromptHasher,
   type RouteCandidate,
-  Routing,
 } from "@zinniahill/policy";
 import type { ChatMessage, GroupState } from "@zinniahill/schema";
 import type { Evidence } from "../groups/evidence.ts";
 import type { NodeKernel } from "../services.ts";
 
 interface ModelRoutes {
-  readonly routing: Routing;
+  readonly routing: LoadBalancer;
   groups: ReadonlyMap<string, GroupState>;
   candidates: readonly RouteCandidate[];
   listedAt: number;
@@ -86,7 +86,7 @@
 
   /** Takes the mean time between tokens over a part of a stream. */
   noteTokenGap(group: string, ms: number): void {
-    this.#findRouting(group)?.noteTokenGap(group, ms);
+    this.#findRouting(group)?.recordTokenGap(group, ms);
   }
 
   dump(): unknown {
@@ -102,7 +102,7 @@
 
   #chooseServable(
     { routing, candidates, groups }: ModelRoutes,
-    request: Parameters<Routing["choose"]>[0],
+    request: Parameters<LoadBalancer["choose"]>[0],
   ): GroupState | undefined {
     const chosen = routing.choose(request, candidates);
     const group = chosen && groups.get(chosen.group);
@@ -115,7 +115,7 @@
     let routes = this.#models.get(model);
     if (routes === undefined) {
       routes = {
-        routing: new Routing(this.#clock, this.#random),
+        routing: new LoadBalancer(this.#clock, this.#random),
         groups: new Map(),
         candidates: [],
         listedAt: -Infinity,
@@ -152,7 +152,7 @@
     };
   }
 
-  #findRouting(group: string): Routing | undefined {
+  #findRouting(group: string): LoadBalancer | undefined {
     const model = this.#modelOf.get(group);
     return model === undefined ? undefined : this.#models.get(model)?.routing;
   }
--- a/packages/node/test/serving/test-permit.ts
+++ b/packages/node/test/serving/test-permit.ts
@@ -22,7 +22,7 @@
     this.priority = priority;
   }
 
-  get yielded(): AbortSignal {
+  get yieldSignal(): AbortSignal {
     return this.yielding.signal;
   }
 
@@ -36,7 +36,7 @@
     );
   }
 
-  noteFirstToken(): void {
+  recordFirstToken(): void {
     this.firstTokens++;
   }
 
--- a/packages/policy/src/account-limits.ts
+++ b/packages/policy/src/account-limits.ts
@@ -73,7 +73,7 @@
   }
 
   /** The number of accounts that are remembered. */
-  get accounts(): number {
+  get accountCount(): number {
     return this.#usage.size;
   }
 
@@ -129,7 +129,7 @@
   }
 
   /** Charges what a peer reports; a repeated report is ignored. */
-  noteReport(
+  applyReport(
     node: string,
     sequence: number,
     report: readonly AccountUsage[],
--- a/packages/policy/src/admission.ts
+++ b/packages/policy/src/admission.ts
@@ -7,13 +7,13 @@
 import { type Rank, RANKS, Refusal, type Rules } from "@zinniahill/schema";
 import { Result } from "true-myth";
 import { FairQueue } from "./fair-queue.ts";
-import { FirstTokenTimes } from "./first-token-times.ts";
+import { FirstTokenLatency } from "./first-token-latency.ts";
 import type { AdmissionRequest, Permit } from "./permit.ts";
 import { ServiceRates } from "./service-rates.ts";
 import {
   createOverload,
   createRankTable,
-  type HeldPlace,
+  type PermitState,
   type Waiter,
 } from "./waiter.ts";
 
@@ -46,8 +46,8 @@
   #waiting = createRankTable(() => new Set<Waiter>());
   #rates: ServiceRates;
   #inFlight = createRankTable(() => 0);
-  #running = new Set<HeldPlace>();
-  #firstTokens = new FirstTokenTimes();
+  #running = new Set<PermitState>();
+  #firstTokens = new FirstTokenLatency();
   #cancelExpiry: (() => void) | undefined;
 
   constructor(options: AdmissionOptions) {
@@ -156,7 +156,7 @@
     if (queue.size === 0 && this.inFlight < this.limit) {
       return 0;
     }
-    const ahead = queue.countAhead(account, weight);
+    const ahead = queue.countTokensAhead(account, weight);
     return (ahead + tokens) / this.#rates.getAttainable(rank, rules);
   }
 
@@ -220,7 +220,7 @@
     this.#waiting[rank].delete(waiter);
     this.#inFlight[rank]++;
     this.#rates.noteDispatch(rank, waiter.cost);
-    const place: HeldPlace = {
+    const place: PermitState = {
       waiter,
       admittedAt: this.#options.clock.now(),
       priority: isBelowFloor ? 0 : RANKS.indexOf(rank),
@@ -234,16 +234,16 @@
     waiter.settle(Result.ok(this.#createPermit(place)));
   }
 
-  #createPermit(place: HeldPlace): Permit {
+  #createPermit(place: PermitState): Permit {
     const { waiter } = place;
     return {
       priority: place.priority,
-      get yielded() {
+      get yieldSignal() {
         place.canYield = true;
         return place.yielding.signal;
       },
       resume: (signal) => this.#resume(place, signal),
-      noteFirstToken: () => {
+      recordFirstToken: () => {
         if (place.isHeld && !place.isFirstTokenSeen) {
           place.isFirstTokenSeen = true;
           const waited = this.#options.clock.now() - place.admittedAt;
@@ -265,7 +265,7 @@
   }
 
   #resume(
-    place: HeldPlace,
+    place: PermitState,
     signal: AbortSignal,
   ): Promise<Result<Permit, Refusal>> {
     const { account, rank, cost, weight, yields } = place.waiter;
@@ -279,7 +279,7 @@
     );
   }
 
-  #end(place: HeldPlace): void {
+  #end(place: PermitState): void {
     place.isHeld = false;
     this.#inFlight[place.waiter.rank]--;
     this.#running.delete(place);
--- a/packages/policy/src/capacity.ts
+++ b/packages/policy/src/capacity.ts
@@ -35,7 +35,7 @@
   }
 
   /** Batch slots of all groups, as far as they are known. */
-  get total(): number {
+  get totalSlots(): number {
     return this.#total;
   }
 
--- a/packages/policy/src/checkpoint.ts
+++ b/packages/policy/src/checkpoint.ts
@@ -26,7 +26,7 @@
 }
 
 /** Nodes that may append a checkpoint, and how their delays are spread. */
-export interface CheckpointTurn {
+export interface CheckpointSchedule {
   readonly node: string;
   /** Nodes that hold a lease, in the order of their scopes' names. */
   readonly holders: readonly string[];
@@ -50,7 +50,7 @@
  * a lease come last, at random, so that they rarely append the same state.
  */
 export function computeCheckpointDelay(
-  turn: CheckpointTurn,
+  turn: CheckpointSchedule,
   random: Random,
 ): number {
   const holders = [...new Set(turn.holders)];
--- a/packages/policy/src/entry-choice.ts
+++ b/packages/policy/src/entry-node.ts
@@ -6,7 +6,7 @@
 import type { Random } from "@zinniahill/kernel";
 
 /** A node that callers may be sent to. */
-export interface EntryCandidate {
+export interface EntryNode {
   readonly address: string;
   readonly dataCentre: string;
   /** Requests in flight as a share of the node's capacity. */
@@ -23,20 +23,20 @@
  * Chooses at random, in proportion to the capacity that is left. Nodes of the
  * caller's data centre come first as long as one of them has capacity left.
  */
-export function chooseEntry(
-  candidates: readonly EntryCandidate[],
+export function chooseEntryNode(
+  candidates: readonly EntryNode[],
   dataCentre: string | undefined,
   random: Random,
-): EntryCandidate | undefined {
+): EntryNode | undefined {
   const near = candidates.filter((entry) => entry.dataCentre === dataCentre);
   const hasRoom = near.some(({ load }) => load < 1);
   return chooseWeighted(hasRoom ? near : candidates, random);
 }
 
 function chooseWeighted(
-  candidates: readonly EntryCandidate[],
+  candidates: readonly EntryNode[],
   random: Random,
-): EntryCandidate | undefined {
+): EntryNode | undefined {
   const weights = candidates.map(({ load }) => Math.max(1 - load, MIN_WEIGHT));
   const total = weights.reduce((sum, weight) => sum + weight, 0);
   let remaining = random.fraction() * total;
--- a/packages/policy/src/fair-queue.ts
+++ b/packages/policy/src/fair-queue.ts
@@ -44,7 +44,7 @@
   }
 
   /** The number of accounts that are remembered. */
-  get accounts(): number {
+  get accountCount(): number {
     return this.#flows.size;
   }
 
@@ -70,7 +70,7 @@
   }
 
   /** Tokens that are served before a new item of an account can start. */
-  countAhead(account: string, weight: number): number {
+  countTokensAhead(account: string, weight: number): number {
     const flow = this.#flows.get(account);
     const lead = Math.max(0, (flow?.tag ?? 0) - this.#virtualTime);
     const isWaiting = flow !== undefined && flow.waiting.size > 0;
--- a/packages/policy/src/first-token-times.ts
+++ b/packages/policy/src/first-token-latency.ts
@@ -16,7 +16,7 @@
 }
 
 /** Time between dispatch and first token, by rank. */
-export class FirstTokenTimes {
+export class FirstTokenLatency {
   #typical = new Map<Rank, Typical>();
 
   /** The time from dispatch to first token that few requests exceed. */
--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -10,7 +10,7 @@
 export {
   type CheckpointAge,
   type CheckpointLimits,
-  type CheckpointTurn,
+  type CheckpointSchedule,
   computeCheckpointDelay,
   findCheckpoint,
   isCheckpointDue,
@@ -28,30 +28,34 @@
   isDrainDue,
   REPLACE_AHEAD_MS,
 } from "./departure.ts";
-export { chooseEntry, type EntryCandidate } from "./entry-choice.ts";
+export { chooseEntryNode, type EntryNode } from "./entry-node.ts";
 export { FairQueue, type QueuedItem } from "./fair-queue.ts";
 export { type NameHash, type PeerSlot, planPeerSlots } from "./peer-choice.ts";
-export { PeerTree, type TreePlace } from "./peer-tree.ts";
+export { PeerTree, type TreePosition } from "./peer-tree.ts";
 export { type AdmissionRequest, type Permit } from "./permit.ts";
 export {
   compareText,
-  countStranded,
+  countStrandedAccelerators,
   type PlacedGroup,
   placeGroup,
   type PlacementContext,
 } from "./placement.ts";
 export { PrefixIndex } from "./prefix-index.ts";
-export { type PrefixStore, TailStore } from "./prefix-store.ts";
+export { DeepestFirstStore, type PrefixStore } from "./prefix-store.ts";
 export { createPromptHasher, type PromptHasher } from "./prompt-hasher.ts";
 export {
   listReplicas,
-  listSurplus,
+  listSurplusGroups,
   placeReplacement,
   planGroups,
+  type PlanInput,
   type PlannedGroup,
-  type ReplicaInput,
 } from "./replicas.ts";
 export { RetryBudget } from "./retry-budget.ts";
-export { type RouteCandidate, type RouteRequest, Routing } from "./routing.ts";
+export {
+  LoadBalancer,
+  type RouteCandidate,
+  type RouteRequest,
+} from "./load-balancer.ts";
 export { createSubset, Subset } from "./subset.ts";
 export { UsageTotals } from "./usage-totals.ts";
--- a/packages/policy/src/routing.ts
+++ b/packages/policy/src/load-balancer.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Clock, Random } from "@zinniahill/kernel";
-import { GroupSpeeds } from "./group-speeds.ts";
+import { StragglerDetector } from "./straggler-detector.ts";
 import { PrefixIndex } from "./prefix-index.ts";
 
 /** A group that may be chosen. */
@@ -37,12 +37,12 @@
 const SLOW_START_SHARE = 0.1;
 
 /** Chooses groups and counts the work that this node has given them. */
-export class Routing {
+export class LoadBalancer {
   /** Prefixes that groups are thought to hold in their caches. */
   readonly prefixes: PrefixIndex;
   #clock: Clock;
   #random: Random;
-  #speeds: GroupSpeeds;
+  #speeds: StragglerDetector;
   #outstanding = new Map<string, number>();
   #firstSeenAt = new Map<string, number>();
   #reports = new Map<string, { reportedAt: number; others: number }>();
@@ -51,7 +51,7 @@
     this.prefixes = prefixes;
     this.#clock = clock;
     this.#random = random;
-    this.#speeds = new GroupSpeeds(clock);
+    this.#speeds = new StragglerDetector(clock);
   }
 
   /** Requests of this node that run on a group. */
@@ -73,7 +73,7 @@
       this.#chooseNear(request.dataCentre, usable, bound) ??
       this.#chooseOfTwo(usable);
     if (chosen !== undefined && request.prefix !== undefined) {
-      this.prefixes.note(chosen.group, request.prefix);
+      this.prefixes.recordPrompt(chosen.group, request.prefix);
     }
     return chosen;
   }
@@ -94,7 +94,7 @@
   }
 
   /** Takes the mean time between tokens over a part of a stream. */
-  noteTokenGap(group: string, ms: number): void {
+  recordTokenGap(group: string, ms: number): void {
     this.#speeds.note(group, ms);
   }
 
--- a/packages/policy/src/peer-tree.ts
+++ b/packages/policy/src/peer-tree.ts
@@ -5,11 +5,11 @@
  */
 
 /** What a node tells its neighbours of its place in the tree. */
-export interface TreePlace {
+export interface TreePosition {
   /** The node with the lowest name that is known to live. */
   readonly root: string;
   /** Raised by the root at a fixed interval. */
-  readonly wave: number;
+  readonly rootSequence: number;
   readonly depth: number;
   /** Empty at the root, and while a node looks for a new parent. */
   readonly parent: string;
@@ -21,29 +21,34 @@
 const MAX_LOST_ROOTS = 64;
 
 /**
- * Chooses this node's parent. A parent has a higher wave of the same root, or
- * the same wave and a lower depth; since no node's place becomes worse while
- * its root lives, parents never form a cycle. A root whose wave no longer rises
- * is lost; it is accepted again only with a higher wave.
+ * Chooses this node's parent. A parent has a higher rootSequence of the same root, or
+ * the same rootSequence and a lower depth; since no node's place becomes worse while
+ * its root lives, parents never form a cycle. A root whose rootSequence no longer rises
+ * is lost; it is accepted again only with a higher rootSequence.
  */
 export class PeerTree {
   #own: string;
   #validityMs: number;
-  #place: TreePlace;
+  #place: TreePosition;
   #raisedAt: number;
-  #neighbours = new Map<string, TreePlace>();
+  #neighbours = new Map<string, TreePosition>();
   #lost = new Map<string, number>();
 
-  /** `wave` must be higher than the last wave of an earlier process. */
-  constructor(own: string, wave: number, validityMs: number, now: number) {
+  /** `rootSequence` must be higher than the last rootSequence of an earlier process. */
+  constructor(
+    own: string,
+    rootSequence: number,
+    validityMs: number,
+    now: number,
+  ) {
     this.#own = own;
     this.#validityMs = validityMs;
     this.#raisedAt = now;
-    this.#place = { root: own, wave, depth: 0, parent: "" };
+    this.#place = { root: own, rootSequence, depth: 0, parent: "" };
   }
 
   /** This node's place, as it is told to the neighbours. */
-  get place(): TreePlace {
+  get position(): TreePosition {
     return this.#place;
   }
 
@@ -56,30 +61,33 @@
       .map(([node]) => node);
   }
 
-  /** Begins a wave as the root, or gives up a root that is silent. */
-  advance(wave: number, now: number): void {
-    const { root, wave: known } = this.#place;
+  /** Begins a rootSequence as the root, or gives up a root that is silent. */
+  advance(rootSequence: number, now: number): void {
+    const { root, rootSequence: known } = this.#place;
     if (root === this.#own) {
-      this.#place = { ...this.#place, wave: Math.max(wave, known + 1) };
+      this.#place = {
+        ...this.#place,
+        rootSequence: Math.max(rootSequence, known + 1),
+      };
     } else if (now - this.#raisedAt > this.#validityMs) {
       this.#giveUpRoot();
-      this.#place = { root: this.#own, wave, depth: 0, parent: "" };
+      this.#place = { root: this.#own, rootSequence, depth: 0, parent: "" };
     }
   }
 
   /** Takes in the place of a neighbour. */
-  note(node: string, place: TreePlace, now: number): void {
+  updateNeighbour(node: string, place: TreePosition, now: number): void {
     this.#neighbours.set(node, place);
-    const { root, wave, parent } = this.#place;
+    const { root, rootSequence, parent } = this.#place;
     if (node === parent && place.root !== root) {
       this.#follow(node, place, now);
     } else if (place.parent !== this.#own && this.#isBetter(node, place)) {
-      if (place.root !== root || place.wave > wave) {
+      if (place.root !== root || place.rootSequence > rootSequence) {
         this.#raisedAt = now;
       }
       this.#place = {
         root: place.root,
-        wave: place.wave,
+        rootSequence: place.rootSequence,
         depth: place.depth + 1,
         parent: node,
       };
@@ -87,7 +95,7 @@
   }
 
   /** Forgets neighbours that are no longer connected. */
-  keep(connected: ReadonlySet<string>): void {
+  retain(connected: ReadonlySet<string>): void {
     for (const node of this.#neighbours.keys()) {
       if (!connected.has(node)) {
         this.#neighbours.delete(node);
@@ -99,13 +107,13 @@
     }
     this.#place = { ...this.#place, parent: "" };
     if (parent === this.#place.root) {
-      // If the root lives, its next wave arrives over another connection.
+      // If the root lives, its next rootSequence arrives over another connection.
       this.#raisedAt = Number.NEGATIVE_INFINITY;
     }
   }
 
   /** Stays below a parent that has another root, so that its links remain. */
-  #follow(node: string, place: TreePlace, now: number): void {
+  #follow(node: string, place: TreePosition, now: number): void {
     if (place.parent === this.#own || place.root === this.#own) {
       this.#place = { ...this.#place, parent: "" };
       return;
@@ -116,37 +124,37 @@
     this.#raisedAt = now;
     this.#place = {
       root: place.root,
-      wave: place.wave,
+      rootSequence: place.rootSequence,
       depth: place.depth + 1,
       parent: node,
     };
   }
 
   #giveUpRoot(): void {
-    this.#lost.set(this.#place.root, this.#place.wave);
+    this.#lost.set(this.#place.root, this.#place.rootSequence);
     if (this.#lost.size > MAX_LOST_ROOTS) {
       const [oldest] = this.#lost.keys();
       this.#lost.delete(oldest!);
     }
   }
 
-  #isBetter(node: string, place: TreePlace): boolean {
-    const { root, wave, depth, parent } = this.#place;
+  #isBetter(node: string, place: TreePosition): boolean {
+    const { root, rootSequence, depth, parent } = this.#place;
     if (place.root !== root) {
       return place.root < root &&
-        place.wave > (this.#lost.get(place.root) ?? -1);
+        place.rootSequence > (this.#lost.get(place.root) ?? -1);
     }
     if (root === this.#own) {
       return false;
     }
-    if (place.wave === wave) {
+    if (place.rootSequence === rootSequence) {
       return place.depth + 1 < depth;
     }
     const limit = node === parent || parent === ""
-      ? wave + 1
+      ? rootSequence + 1
       : place.depth + 1 < depth
-      ? wave + 1
-      : wave + LATE_WAVES;
-    return place.wave >= limit;
+      ? rootSequence + 1
+      : rootSequence + LATE_WAVES;
+    return place.rootSequence >= limit;
   }
 }
--- a/packages/policy/src/permit.ts
+++ b/packages/policy/src/permit.ts
@@ -26,11 +26,11 @@
    * holder cancels it on the engine, then calls `resume` and releases this
    * permit. A holder that never reads the signal is not asked to yield.
    */
-  readonly yielded: AbortSignal;
+  readonly yieldSignal: AbortSignal;
   /** Waits for a place again after a yield, behind those that already wait. */
   resume(signal: AbortSignal): Promise<Result<Permit, Refusal>>;
   /** Says that the first token of an attempt has come. */
-  noteFirstToken(): void;
+  recordFirstToken(): void;
   /** Gives the place back; `tokens` were served under this permit. */
   release(tokens: number): void;
 }
--- a/packages/policy/src/placement.ts
+++ b/packages/policy/src/placement.ts
@@ -52,7 +52,7 @@
 }
 
 /** Counts the accelerators of free hosts that no further group can use. */
-export function countStranded(
+export function countStrandedAccelerators(
   freeHosts: readonly Host[],
   sizes: readonly number[],
 ): number {
--- a/packages/policy/src/prefix-index.ts
+++ b/packages/policy/src/prefix-index.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { type PrefixStore, TailStore } from "./prefix-store.ts";
+import { DeepestFirstStore, type PrefixStore } from "./prefix-store.ts";
 
 /**
  * An index kept from what the node has sent. Cache events correct it; they come
@@ -13,7 +13,7 @@
   #createStore: () => PrefixStore;
   #groups = new Map<string, PrefixStore>();
 
-  constructor(createStore: () => PrefixStore = () => new TailStore()) {
+  constructor(createStore: () => PrefixStore = () => new DeepestFirstStore()) {
     this.#createStore = createStore;
   }
 
@@ -31,17 +31,17 @@
   }
 
   /** Notes a prompt that was sent to a group. */
-  note(group: string, prefix: readonly string[]): void {
+  recordPrompt(group: string, prefix: readonly string[]): void {
     let held = this.#groups.get(group);
     if (held === undefined) {
       held = this.#createStore();
       this.#groups.set(group, held);
     }
-    held.note(prefix);
+    held.add(prefix);
   }
 
   /** Corrects the index by an event of a group's cache. */
-  correct(
+  applyCacheEvent(
     group: string,
     event: {
       readonly stored?: readonly string[] | undefined;
@@ -49,7 +49,7 @@
     },
   ): void {
     if (event.stored !== undefined) {
-      this.note(group, event.stored);
+      this.recordPrompt(group, event.stored);
     }
     const held = this.#groups.get(group);
     for (const hash of event.removed ?? []) {
--- a/packages/policy/src/prefix-store.ts
+++ b/packages/policy/src/prefix-store.ts
@@ -14,7 +14,7 @@
 export interface PrefixStore {
   has(hash: string): boolean;
   /** Notes the use of a prompt's prefixes, the shortest first. */
-  note(prefix: readonly string[]): void;
+  add(prefix: readonly string[]): void;
   remove(hash: string): void;
 }
 
@@ -22,7 +22,7 @@
  * Among the oldest prefixes, drops the one deepest in its prompt: fewer later
  * prompts share it, and the shorter ones stay of use without it.
  */
-export class TailStore implements PrefixStore {
+export class DeepestFirstStore implements PrefixStore {
   #capacity: number;
   #depths = new Map<string, number>();
 
@@ -34,7 +34,7 @@
     return this.#depths.has(hash);
   }
 
-  note(prefix: readonly string[]): void {
+  add(prefix: readonly string[]): void {
     prefix.forEach((hash, depth) => {
       this.#depths.delete(hash);
       this.#depths.set(hash, depth);
--- a/packages/policy/src/replicas.ts
+++ b/packages/policy/src/replicas.ts
@@ -11,7 +11,7 @@
 import { compareText, type PlacedGroup, placeGroup } from "./placement.ts";
 
 /** What the plan depends on; the same input gives the same plan. */
-export interface ReplicaInput {
+export interface PlanInput {
   readonly models: readonly ModelRule[];
   readonly groups: readonly GroupState[];
   /** Hosts of all data centres that a new group may use. */
@@ -36,7 +36,7 @@
 }
 
 /** Chooses hosts for every replica that is missing and can be placed. */
-export function planGroups(input: ReplicaInput): PlannedGroup[] {
+export function planGroups(input: PlanInput): PlannedGroup[] {
   const planned: PlannedGroup[] = [];
   const free = new Map(input.freeHosts.map((host) => [host.host, host]));
   const replicas = listReplicas(input.groups);
@@ -62,7 +62,7 @@
 export function placeReplacement(
   model: ModelRule,
   group: GroupState,
-  input: ReplicaInput,
+  input: PlanInput,
 ): PlacedGroup | undefined {
   const places = input.groups.filter(({ model: name }) => name === model.name);
   const sizes = input.models.map(({ hosts }) => hosts);
@@ -74,7 +74,7 @@
 }
 
 /** Groups beyond the replicas that the rules ask for, to be drained. */
-export function listSurplus(
+export function listSurplusGroups(
   models: readonly ModelRule[],
   groups: readonly GroupState[],
 ): GroupState[] {
--- a/packages/policy/src/retry-budget.ts
+++ b/packages/policy/src/retry-budget.ts
@@ -28,13 +28,13 @@
   }
 
   /** Notes a first attempt, which adds the rank's share of a retry. */
-  noteFirst(rank: Rank): void {
+  deposit(rank: Rank): void {
     const saved = this.#saved.get(rank)! + this.#readRule(rank).retries;
     this.#saved.set(rank, Math.min(MAX_SAVED_RETRIES, saved));
   }
 
   /** Takes one retry from the budget; false when there is none. */
-  tryTake(rank: Rank): boolean {
+  tryWithdraw(rank: Rank): boolean {
     const saved = this.#saved.get(rank)!;
     if (saved < 1) {
       return false;
@@ -44,12 +44,12 @@
   }
 
   /** Takes a retry for a second attempt that runs beside the first. */
-  tryHedge(rank: Rank, isIdempotent: boolean): boolean {
-    return rank === "urgent" && isIdempotent && this.tryTake(rank);
+  tryWithdrawHedge(rank: Rank, isIdempotent: boolean): boolean {
+    return rank === "urgent" && isIdempotent && this.tryWithdraw(rank);
   }
 
   /** The pause before an attempt, with full jitter; the first has number 1. */
-  drawPauseMs(retry: number): number {
+  drawBackoffMs(retry: number): number {
     const limit = Math.min(
       BACKOFF_LIMIT_MS,
       BACKOFF_BASE_MS * 2 ** (retry - 1),
--- a/packages/policy/src/group-speeds.ts
+++ b/packages/policy/src/straggler-detector.ts
@@ -24,7 +24,7 @@
 const COMPARISON_INTERVAL_MS = 250;
 
 /** Smoothed time between tokens of each group. */
-export class GroupSpeeds {
+export class StragglerDetector {
   #clock: Clock;
   #speeds = new Map<string, Speed>();
   #comparedAt = -Infinity;
--- a/packages/policy/src/usage-totals.ts
+++ b/packages/policy/src/usage-totals.ts
@@ -37,12 +37,12 @@
   #parent = "";
 
   /** Notes what this node's callers used since the last report. */
-  noteOwn(accounts: readonly AccountUsage[]): void {
+  addOwnUsage(accounts: readonly AccountUsage[]): void {
     this.#note(OWN, accounts);
   }
 
   /** Notes what a link reports of its side; others are ignored. */
-  noteLink(node: string, accounts: readonly AccountUsage[]): void {
+  addLinkUsage(node: string, accounts: readonly AccountUsage[]): void {
     if (node !== OWN && this.#links.has(node)) {
       this.#note(node, accounts);
     }
@@ -77,15 +77,15 @@
   }
 
   /** Takes the use of all other nodes since the last call. */
-  takeOthers(): AccountUsage[] | undefined {
-    return this.takeFor(OWN);
+  takeRemoteUsage(): AccountUsage[] | undefined {
+    return this.takeUsageFor(OWN);
   }
 
   /**
    * Takes what a link is to be told; undefined when there is no use. An end of
    * all use is told once.
    */
-  takeFor(node: string): AccountUsage[] | undefined {
+  takeUsageFor(node: string): AccountUsage[] | undefined {
     const link = this.#links.get(node);
     if (link === undefined) {
       return undefined;
--- a/packages/policy/src/waiter.ts
+++ b/packages/policy/src/waiter.ts
@@ -23,7 +23,7 @@
 }
 
 /** A place that a request holds. */
-export interface HeldPlace {
+export interface PermitState {
   readonly waiter: Waiter;
   readonly admittedAt: number;
   readonly priority: number;
--- a/packages/policy/test/account-limits.test.ts
+++ b/packages/policy/test/account-limits.test.ts
@@ -63,8 +63,8 @@
       const { nodes: [one, two] } = createNodes(2);
       countBegun(one!, 1, 6);
       const report = one!.takeReport(accounts);
-      two!.noteReport("one", 1, report, accounts);
-      two!.noteReport("one", 1, report, accounts);
+      two!.applyReport("one", 1, report, accounts);
+      two!.applyReport("one", 1, report, accounts);
       expect(countBegun(two!, 1)).toBe(4);
     });
 
@@ -72,7 +72,7 @@
       const { clock, nodes: [one, two] } = createNodes(2);
       countBegun(one!, 1);
       countBegun(two!, 1);
-      two!.noteReport("one", 1, one!.takeReport(accounts), accounts);
+      two!.applyReport("one", 1, one!.takeReport(accounts), accounts);
       await clock.advance(1000);
       expect(countBegun(two!, 1)).toBe(0);
     });
@@ -80,12 +80,12 @@
     it("gives the streams of a lost peer back", async () => {
       const { clock, nodes: [one, two] } = createNodes(2);
       const report = [{ account: "north", requests: 8, tokens: 8, streams: 8 }];
-      two!.noteReport("one", 1, report, accounts);
+      two!.applyReport("one", 1, report, accounts);
       await clock.advance(1000);
       expect(two!.begin(rule, 1).isErr).toBe(true);
       await clock.advance(4000);
       expect(two!.begin(rule, 1).isOk).toBe(true);
-      expect(one!.accounts).toBe(0);
+      expect(one!.accountCount).toBe(0);
     });
   });
 
@@ -95,7 +95,7 @@
       countBegun(limits!, 1);
       await clock.advance(2000);
       limits!.takeReport(accounts);
-      expect(limits!.accounts).toBe(0);
+      expect(limits!.accountCount).toBe(0);
     });
   });
 });
--- a/packages/policy/test/admission.test.ts
+++ b/packages/policy/test/admission.test.ts
@@ -138,7 +138,7 @@
       for (let index = 0; index < 4; index++) {
         batch.push(await hold("batch"));
       }
-      const signals = batch.map(({ yielded }) => yielded);
+      const signals = batch.map(({ yieldSignal }) => yieldSignal);
       expect((await admit("urgent")).isOk).toBe(true);
       expect(signals.map(({ aborted }) => aborted))
         .toEqual([false, false, false, true]);
@@ -149,7 +149,7 @@
       const { admission, hold } = createAdmission(2);
       await hold("batch");
       const batch = await hold("batch");
-      expect(batch.yielded.aborted).toBe(false);
+      expect(batch.yieldSignal.aborted).toBe(false);
       const urgent = await hold("urgent");
       const resumed = batch.resume(createSignal());
       batch.release(10);
@@ -170,7 +170,7 @@
       const { clock, hold } = createAdmission(2);
       await hold("batch");
       const batch = await hold("batch");
-      expect(batch.yielded.aborted).toBe(false);
+      expect(batch.yieldSignal.aborted).toBe(false);
       await hold("urgent");
       const resumed = batch.resume(createSignal());
       await clock.advance(10_000);
--- a/packages/policy/test/capacity.test.ts
+++ b/packages/policy/test/capacity.test.ts
@@ -16,14 +16,14 @@
       for (let report = 0; report < 3; report++) {
         capacity.observe(createReports(6, 4), 1, 24);
       }
-      expect(capacity.total).toBe(24);
+      expect(capacity.totalSlots).toBe(24);
     });
 
     it("does not take the first steps of a burst for all slots", () => {
       const capacity = new Capacity();
       capacity.observe(createReports(8, 8), 1, 64);
       capacity.observe(createReports(16, 0), 1, 64);
-      expect(capacity.total).toBe(64);
+      expect(capacity.totalSlots).toBe(64);
     });
   });
 
@@ -65,8 +65,8 @@
   function countRetries(budget: RetryBudget, firsts: number): number {
     let taken = 0;
     for (let index = 0; index < firsts; index++) {
-      budget.noteFirst("normal");
-      taken += budget.tryTake("normal") ? 1 : 0;
+      budget.deposit("normal");
+      taken += budget.tryWithdraw("normal") ? 1 : 0;
     }
     return taken;
   }
@@ -79,7 +79,7 @@
     it("does not let one rank use the retries of another", () => {
       const budget = createBudget();
       countRetries(budget, 1000);
-      expect(budget.tryTake("urgent")).toBe(true);
+      expect(budget.tryWithdraw("urgent")).toBe(true);
     });
   });
 
@@ -87,9 +87,9 @@
     it("are for urgent idempotent work only", () => {
       const budget = createBudget();
       expect([
-        budget.tryHedge("urgent", true),
-        budget.tryHedge("urgent", false),
-        budget.tryHedge("normal", true),
+        budget.tryWithdrawHedge("urgent", true),
+        budget.tryWithdrawHedge("urgent", false),
+        budget.tryWithdrawHedge("normal", true),
       ]).toEqual([true, false, false]);
     });
   });
@@ -97,7 +97,7 @@
   describe("pauses", () => {
     it("are spread over the whole range, so that retries do not align", () => {
       const budget = createBudget();
-      const pauses = Array.from({ length: 200 }, () => budget.drawPauseMs(4));
+      const pauses = Array.from({ length: 200 }, () => budget.drawBackoffMs(4));
       expect(Math.min(...pauses)).toBeLessThan(40);
       expect(Math.max(...pauses)).toBeGreaterThan(360);
       expect(Math.max(...pauses)).toBeLessThanOrEqual(400);
--- a/packages/policy/test/entry-choice.test.ts
+++ b/packages/policy/test/entry-node.test.ts
@@ -1,6 +1,6 @@
 import { SeededRandom } from "@zinniahill/kernel";
 import { describe, expect, it } from "vitest";
-import { chooseEntry, type EntryCandidate } from "../src/index.ts";
+import { chooseEntryNode, type EntryNode } from "../src/index.ts";
 
 const DRAWS = 10_000;
 
@@ -8,25 +8,25 @@
   address: string,
   dataCentre: string,
   load: number,
-): EntryCandidate {
+): EntryNode {
   return { address, dataCentre, load };
 }
 
 /** Counts how often each address is chosen. */
 function countChoices(
-  candidates: readonly EntryCandidate[],
+  candidates: readonly EntryNode[],
   dataCentre: string,
 ): Record<string, number> {
   const random = new SeededRandom(20261204);
   const counts: Record<string, number> = {};
   for (let draw = 0; draw < DRAWS; draw++) {
-    const { address } = chooseEntry(candidates, dataCentre, random)!;
+    const { address } = chooseEntryNode(candidates, dataCentre, random)!;
     counts[address] = (counts[address] ?? 0) + 1;
   }
   return counts;
 }
 
-describe("chooseEntry", () => {
+describe("chooseEntryNode", () => {
   describe("by load", () => {
     it("spreads callers in proportion to the capacity that is left", () => {
       const { a = 0, b = 0 } = countChoices([
@@ -72,7 +72,7 @@
 
   describe("without candidates", () => {
     it("chooses none", () => {
-      expect(chooseEntry([], "dc-1", new SeededRandom(1))).toBeUndefined();
+      expect(chooseEntryNode([], "dc-1", new SeededRandom(1))).toBeUndefined();
     });
   });
 });
--- a/packages/policy/test/fair-queue.test.ts
+++ b/packages/policy/test/fair-queue.test.ts
@@ -85,7 +85,7 @@
             }
             expect(taken).toHaveLength(items.length);
             taken.forEach((item, index) => queue.end(item, index % 7));
-            expect([queue.size, queue.accounts, queue.waitingCost])
+            expect([queue.size, queue.accountCount, queue.waitingCost])
               .toEqual([0, 0, 0]);
           },
         ),
@@ -103,7 +103,7 @@
         taken.forEach((item) => queue.end(item, 100));
         queue.end(queue.take()!, 100);
       }
-      expect(queue.accounts).toBeLessThan(10);
+      expect(queue.accountCount).toBeLessThan(10);
     });
   });
 });
--- a/packages/policy/test/routing.test.ts
+++ b/packages/policy/test/load-balancer.test.ts
@@ -2,10 +2,10 @@
 import { describe, expect, it } from "vitest";
 import {
   createPromptHasher,
+  DeepestFirstStore,
+  LoadBalancer,
   PrefixIndex,
   type RouteCandidate,
-  Routing,
-  TailStore,
 } from "../src/index.ts";
 
 const SEED = 5;
@@ -13,7 +13,7 @@
 
 function createRouting() {
   const clock = new ManualClock();
-  const routing = new Routing(clock, new SeededRandom(SEED));
+  const routing = new LoadBalancer(clock, new SeededRandom(SEED));
   return { clock, routing };
 }
 
@@ -30,7 +30,7 @@
 }
 
 function countChoices(
-  routing: Routing,
+  routing: LoadBalancer,
   candidates: readonly RouteCandidate[],
 ): Map<string, number> {
   const counts = new Map<string, number>();
@@ -42,7 +42,7 @@
   return counts;
 }
 
-describe("Routing", () => {
+describe("LoadBalancer", () => {
   describe("data centres", () => {
     const candidates = createCandidates(
       4,
@@ -102,10 +102,10 @@
   });
 
   describe("stragglers", () => {
-    function noteGaps(routing: Routing, slow: number, count = 10): void {
+    function noteGaps(routing: LoadBalancer, slow: number, count = 10): void {
       for (let group = 0; group < count; group++) {
         for (let sample = 0; sample < 5; sample++) {
-          routing.noteTokenGap(`g${group}`, group < slow ? 200 : 30);
+          routing.recordTokenGap(`g${group}`, group < slow ? 200 : 30);
         }
       }
     }
@@ -172,13 +172,13 @@
 describe("PrefixIndex", () => {
   describe("size", () => {
     it("keeps no more than its capacity, the shortest prefixes longest", () => {
-      const index = new PrefixIndex(() => new TailStore(4));
-      index.note("g", ["a", "b", "c"]);
-      index.note("g", ["a", "d", "e"]);
+      const index = new PrefixIndex(() => new DeepestFirstStore(4));
+      index.recordPrompt("g", ["a", "b", "c"]);
+      index.recordPrompt("g", ["a", "d", "e"]);
       expect(index.match("g", ["a", "b", "c"])).toBe(2);
       expect(index.match("g", ["a", "d", "e"])).toBe(3);
-      index.note("g", ["f", "g", "h", "i"]);
-      index.note("g", ["j", "k", "l", "m"]);
+      index.recordPrompt("g", ["f", "g", "h", "i"]);
+      index.recordPrompt("g", ["j", "k", "l", "m"]);
       const held = [["a", "b"], ["f", "g", "h", "i"], ["j", "k", "l", "m"]]
         .map((prefix) => index.match("g", prefix));
       expect(held.reduce((sum, length) => sum + length)).toBeLessThanOrEqual(4);
@@ -188,14 +188,14 @@
   describe("cache events", () => {
     it("drops what the engine has removed", () => {
       const index = new PrefixIndex();
-      index.note("g", ["a", "b"]);
-      index.correct("g", { removed: ["b"] });
+      index.recordPrompt("g", ["a", "b"]);
+      index.applyCacheEvent("g", { removed: ["b"] });
       expect(index.match("g", ["a", "b"])).toBe(1);
     });
 
     it("survives an event of something it does not know", () => {
       const index = new PrefixIndex();
-      index.correct("g", { removed: ["x"], stored: ["a"] });
+      index.applyCacheEvent("g", { removed: ["x"], stored: ["a"] });
       expect(index.match("g", ["a"])).toBe(1);
     });
   });
--- a/packages/policy/test/peer-tree.test.ts
+++ b/packages/policy/test/peer-tree.test.ts
@@ -14,7 +14,7 @@
       );
     const exchange = (trees: PeerTree[], from: number, now: number) => {
       for (const to of [(from + 1) % SIZE, (from + SIZE - 1) % SIZE]) {
-        trees[to]!.note(`n${from}`, trees[from]!.place, now);
+        trees[to]!.updateNeighbour(`n${from}`, trees[from]!.position, now);
       }
     };
 
@@ -30,7 +30,7 @@
               let at = `n${index}`;
               for (let hops = 0; at !== ""; hops++) {
                 expect(hops).toBeLessThanOrEqual(SIZE);
-                at = trees[Number(at.slice(1))]!.place.parent;
+                at = trees[Number(at.slice(1))]!.position.parent;
               }
             }
           }
@@ -44,9 +44,9 @@
       exchange(trees, 0, 0);
       exchange(trees, 1, 0);
       trees[1]!.advance(9, VALIDITY_MS + 1);
-      expect(trees[1]!.place.root).toBe("n1");
-      trees[1]!.note("n2", trees[2]!.place, VALIDITY_MS + 1);
-      expect(trees[1]!.place.root).toBe("n1");
+      expect(trees[1]!.position.root).toBe("n1");
+      trees[1]!.updateNeighbour("n2", trees[2]!.position, VALIDITY_MS + 1);
+      expect(trees[1]!.position.root).toBe("n1");
     });
   });
 });
@@ -58,19 +58,19 @@
     it("are not told their own use, and others' only once", () => {
       const totals = new UsageTotals();
       totals.setLinks(["up", "down"], "up");
-      totals.noteLink("down", [use]);
-      expect(totals.takeFor("down")).toBe(undefined);
-      expect(totals.takeFor("up")).toEqual([use]);
-      expect(totals.takeFor("up"))
+      totals.addLinkUsage("down", [use]);
+      expect(totals.takeUsageFor("down")).toBe(undefined);
+      expect(totals.takeUsageFor("up")).toEqual([use]);
+      expect(totals.takeUsageFor("up"))
         .toEqual([{ ...use, requests: 0, tokens: 0 }]);
     });
 
     it("hand what was not sent to a lost parent to the next one", () => {
       const totals = new UsageTotals();
       totals.setLinks(["up"], "up");
-      totals.noteOwn([use]);
+      totals.addOwnUsage([use]);
       totals.setLinks(["next"], "next");
-      expect(totals.takeFor("next")).toEqual([use]);
+      expect(totals.takeUsageFor("next")).toEqual([use]);
     });
   });
 });
--- a/packages/policy/test/placement.test.ts
+++ b/packages/policy/test/placement.test.ts
@@ -2,8 +2,8 @@
 import type { GroupState, Host, ModelRule } from "@zinniahill/schema";
 import { describe, expect, it } from "vitest";
 import {
-  countStranded,
-  listSurplus,
+  countStrandedAccelerators,
+  listSurplusGroups,
   type PlacedGroup,
   placeGroup,
   planGroups,
@@ -83,7 +83,7 @@
       placed += size;
     }
   }
-  return { placed, stranded: countStranded(free, [4]) };
+  return { placed, stranded: countStrandedAccelerators(free, [4]) };
 }
 
 describe("placeGroup", () => {
@@ -145,8 +145,8 @@
 
     it("count only hosts that no size of group can use", () => {
       const free = [...createHosts("fd-1", 3), ...createHosts("fd-2", 5)];
-      expect(countStranded(free, [4])).toBe(32);
-      expect(countStranded(free, [4, 3])).toBe(8);
+      expect(countStrandedAccelerators(free, [4])).toBe(32);
+      expect(countStrandedAccelerators(free, [4, 3])).toBe(8);
     });
   });
 });
@@ -214,7 +214,7 @@
       const groups = [createGroup("a"), createGroup("b", { replaces: "a" })];
       const models = [createModel("chat", 4, 1)];
       expect(planGroups({ models, groups, freeHosts: dc1 })).toEqual([]);
-      expect(listSurplus(models, groups)).toEqual([]);
+      expect(listSurplusGroups(models, groups)).toEqual([]);
     });
 
     it("count once the group that they replace drains", () => {
@@ -228,11 +228,11 @@
   });
 });
 
-describe("listSurplus", () => {
+describe("listSurplusGroups", () => {
   describe("fewer replicas", () => {
     it("drains groups that do not serve before groups that do", () => {
       const groups = [createGroup("a"), createGroup("b", { phase: "loading" })];
-      const surplus = listSurplus([createModel("chat", 4, 1)], groups);
+      const surplus = listSurplusGroups([createModel("chat", 4, 1)], groups);
       expect(surplus.map(({ group }) => group)).toEqual(["b"]);
     });
 
@@ -242,12 +242,15 @@
         createGroup("b"),
         createGroup("c"),
       ];
-      const surplus = listSurplus([createModel("chat", 4, 2)], groups);
+      const surplus = listSurplusGroups([createModel("chat", 4, 2)], groups);
       expect(surplus.map(({ group }) => group)).toEqual(["b"]);
     });
 
     it("drains every group of a model that the rules no longer have", () => {
-      const surplus = listSurplus([], [createGroup("a"), createGroup("b")]);
+      const surplus = listSurplusGroups([], [
+        createGroup("a"),
+        createGroup("b"),
+      ]);
       expect(surplus).toHaveLength(2);
     });
   });
--- a/packages/schema/src/peer.ts
+++ b/packages/schema/src/peer.ts
@@ -29,7 +29,7 @@
 export const TreePlaceTuple = z.tuple([
   /** Root. */
   z.string(),
-  /** Wave of the root. */
+  /** Sequence of the root. */
   z.number().int(),
   /** Depth. */
   z.number().int(),
