--- a/packages/relay/src/entry/lookup.ts
+++ b/packages/relay/src/entry/lookup.ts
@@ -70,7 +70,7 @@
     const peers = this.#mesh.list().filter(({ isServing }) => isServing);
     return this.#lifecycle.isServing
       ? [
-        { entry: this.#mesh.own, capacity: this.#intake.capacity },
+        { entry: this.#mesh.ownEntry, capacity: this.#intake.capacity },
         ...peers,
       ]
       : peers;
--- a/packages/relay/src/feeds/feeds.ts
+++ b/packages/relay/src/feeds/feeds.ts
@@ -14,7 +14,7 @@
 import type { KeyRecord } from "../model/peer-message.ts";
 import type { Batch, FeedName, Topics } from "../outside.ts";
 import type { RelayKernel } from "../services.ts";
-import { KeyTable } from "./key-table.ts";
+import { RecordTable } from "./record-table.ts";
 
 /** Called with records that are newer than those known before. */
 export type FeedListener = (records: readonly KeyRecord[]) => void;
@@ -76,7 +76,7 @@
 
 /** Where one feed stands. */
 interface Progress {
-  readonly table: KeyTable;
+  readonly table: RecordTable;
   readonly listeners: Set<FeedListener>;
   isLoaded: boolean;
   /** When all records up to then are known to have been read. */
@@ -132,12 +132,12 @@
   }
 
   /** Sets when this node reads at the pace of few nodes all the same. */
-  hurryWhile(isHurried: () => boolean): void {
+  readAtFullRateWhile(isHurried: () => boolean): void {
     this.#isHurried = isHurried;
   }
 
   /** The pause between two reads that bring records. */
-  collectMs(feed: FeedName): number {
+  batchDelayMs(feed: FeedName): number {
     const { collectMs, perNode } = PLANS[feed];
     return this.#isHurried()
       ? collectMs
@@ -145,7 +145,7 @@
   }
 
   /** The newest records of a feed. */
-  table(feed: FeedName): KeyTable {
+  table(feed: FeedName): RecordTable {
     return this.#feeds[feed].table;
   }
 
@@ -165,7 +165,7 @@
   }
 
   /** Applies everything that is new up to `next`, as it was just read. */
-  applyNews(
+  applyUpdate(
     feed: FeedName,
     records: readonly KeyRecord[],
     next: number,
@@ -177,7 +177,7 @@
   }
 
   /** Notes that a peer knew nothing newer `ageMs` ago. */
-  noteCurrent(feed: FeedName, ageMs: number): void {
+  markUpToDate(feed: FeedName, ageMs: number): void {
     const progress = this.#feeds[feed];
     const currentAt = this.#clock.now() - ageMs;
     progress.currentAt = Math.max(progress.currentAt, currentAt);
@@ -199,7 +199,7 @@
   }
 
   /** Time since the last outage of the store; zero during one. */
-  reachableMs(feed: FeedName): number {
+  sinceOutageMs(feed: FeedName): number {
     const { failingSince, outageEndedAt } = this.#feeds[feed];
     const now = this.#clock.now();
     const isOutage = failingSince !== undefined &&
@@ -257,7 +257,7 @@
       this.#clock.now() - progress.fedAt < FED_VALID_MS &&
       this.#clock.now() - began < FED_READ_MS;
     do {
-      await this.#clock.sleep(this.collectMs(feed), signal);
+      await this.#clock.sleep(this.batchDelayMs(feed), signal);
     } while (isFed());
   }
 
@@ -306,7 +306,7 @@
 
   #apply(
     feed: FeedName,
-    change: (table: KeyTable) => readonly KeyRecord[],
+    change: (table: RecordTable) => readonly KeyRecord[],
   ): void {
     const progress = this.#feeds[feed];
     const changed = change(progress.table);
@@ -354,7 +354,7 @@
 
 function createProgress(): Progress {
   return {
-    table: new KeyTable(),
+    table: new RecordTable(),
     listeners: new Set(),
     isLoaded: false,
     currentAt: -Infinity,
--- a/packages/relay/src/feeds/key-table.ts
+++ b/packages/relay/src/feeds/record-table.ts
@@ -10,7 +10,7 @@
  * from the store and from peers in any order; an older offset never replaces a
  * newer one.
  */
-export class KeyTable {
+export class RecordTable {
   #records = new Map<string, KeyRecord>();
   #next = 0;
 
--- a/packages/relay/src/peers/feed-exchange.ts
+++ b/packages/relay/src/peers/feed-exchange.ts
@@ -98,7 +98,7 @@
     if (theirs <= own) {
       this.#behind.delete(key);
       if (theirs === own) {
-        this.#feeds.noteCurrent(feed, agesMs[feed]);
+        this.#feeds.markUpToDate(feed, agesMs[feed]);
       }
       return [];
     }
@@ -109,7 +109,7 @@
       ? known
       : { offset: theirs, since: now };
     const isLate = !this.#feeds.isReachable(feed) ||
-      now - lead.since >= FETCH_AFTER_MS + this.#feeds.collectMs(feed);
+      now - lead.since >= FETCH_AFTER_MS + this.#feeds.batchDelayMs(feed);
     const fetchedAt = this.#fetchedAt.get(feed) ?? -Infinity;
     const isDue = isLate && now - fetchedAt >= FETCH_PAUSE_MS;
     this.#behind.set(key, isDue ? { offset: theirs, since: now } : lead);
--- a/packages/relay/src/peers/silence-limit.ts
+++ b/packages/relay/src/peers/idle-timeout.ts
@@ -9,7 +9,7 @@
  * Calls back once when the limit has passed without a reset. A reset only notes
  * the time: a timer for each message would cost more than the message.
  */
-export class SilenceLimit {
+export class IdleTimeout {
   #clock: Pick<Clock, "now" | "schedule">;
   #onSilent: () => void;
   #dueAt: number;
--- a/packages/relay/src/peers/instance-news.ts
+++ b/packages/relay/src/peers/instance-updates.ts
@@ -20,7 +20,7 @@
 const IDLE_MS = 400;
 
 /** Sends news while this node holds placement, and takes those of the holder. */
-export class InstanceNews implements Service {
+export class InstanceUpdates implements Service {
   #clock: Clock;
   #feeds: Feeds;
   #mesh: Mesh;
@@ -36,7 +36,7 @@
     this.#holder = kernel.find("holder");
     const instances: Instances = kernel.find("instances");
     instances.onNews((news) => this.#tell(news));
-    this.#mesh.on("news", (message) => this.#take(message));
+    this.#mesh.onMessage("news", (message) => this.#take(message));
   }
 
   dump(): unknown {
@@ -67,7 +67,7 @@
   /** News after a gap are of no use: the store or a peer gives what is missing. */
   #take({ from, next, records }: MessageOf<"news">): void {
     if (from <= this.#feeds.table(FEED).next) {
-      this.#feeds.applyNews(FEED, records, next);
+      this.#feeds.applyUpdate(FEED, records, next);
     }
   }
 }
--- a/packages/relay/src/peers/mesh.ts
+++ b/packages/relay/src/peers/mesh.ts
@@ -22,18 +22,18 @@
 } from "../model/peer-message.ts";
 import type { RecordDecoder, Topics } from "../outside.ts";
 import type { RelayKernel } from "../services.ts";
-import { NodeDirectory } from "./directory.ts";
+import { NodeDirectory } from "./node-directory.ts";
 import { FeedExchange } from "./feed-exchange.ts";
 import { decodeMessage, encodeMessage } from "./peer-codec.ts";
 import type {
-  BeatSource,
   ForwardedKind,
-  Listeners,
+  MessageListeners,
+  OutstandingSource,
   Peer,
-  PlacementClaim,
+  PlacementRole,
 } from "./peer.ts";
-import { PeerWork } from "./peer-work.ts";
-import { SilenceLimit } from "./silence-limit.ts";
+import { PeerLoads } from "./peer-loads.ts";
+import { IdleTimeout } from "./idle-timeout.ts";
 
 type Beat = MessageOf<"beat">;
 
@@ -80,11 +80,11 @@
   #directory: NodeDirectory;
   #tasks: TaskGroup;
   #links = new Map<string, Link>();
-  #work = new PeerWork();
+  #work = new PeerLoads();
   #dialing = new Set<string>();
-  #readOutstanding: BeatSource = () => [];
-  #readClaim = (): PlacementClaim => ({ holds: false, seeks: false });
-  #listeners: Listeners = {};
+  #readOutstanding: OutstandingSource = () => [];
+  #readClaim = (): PlacementRole => ({ isHolder: false, isCandidate: false });
+  #listeners: MessageListeners = {};
 
   constructor(kernel: RelayKernel) {
     this.#clock = kernel.find("clock");
@@ -126,7 +126,7 @@
     );
     this.#tasks.run("announce", (signal) => this.#announce(signal));
     this.#tasks.run("beat", (signal) => this.#beatForever(signal));
-    this.#lifecycle.onChange(() => this.beatNow());
+    this.#lifecycle.onChange(() => this.broadcastHeartbeat());
   }
 
   async stop(): Promise<void> {
@@ -137,24 +137,24 @@
   }
 
   /** This node's entry. */
-  get own(): NodeEntry {
+  get ownEntry(): NodeEntry {
     return this.#own;
   }
 
   /** Sets what beats say of requests in progress. */
-  reportOutstanding(source: BeatSource): void {
+  setOutstandingSource(source: OutstandingSource): void {
     this.#readOutstanding = source;
   }
 
   /** Sets what beats say of this node's giving orders. */
-  reportPlacement(source: () => PlacementClaim): void {
+  setPlacementSource(source: () => PlacementRole): void {
     this.#readClaim = source;
   }
 
   /** Sets what is done with messages that are not about the mesh itself. */
-  on<Kind extends ForwardedKind>(
+  onMessage<Kind extends ForwardedKind>(
     kind: Kind,
-    listener: Listeners[Kind] & object,
+    listener: MessageListeners[Kind] & object,
   ): void {
     this.#listeners[kind] = listener;
   }
@@ -173,7 +173,7 @@
   }
 
   /** What the other nodes say of their requests in progress. */
-  get work(): Omit<PeerWork, "put" | "forget"> {
+  get peerLoads(): Omit<PeerLoads, "update" | "remove"> {
     return this.#work;
   }
 
@@ -197,7 +197,7 @@
   }
 
   /** Tells all peers at once how this node is. */
-  beatNow(): void {
+  broadcastHeartbeat(): void {
     this.broadcast(this.#createBeat());
   }
 
@@ -225,7 +225,7 @@
 
   async #beatForever(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      this.beatNow();
+      this.broadcastHeartbeat();
       await this.#clock.sleep(this.#beatMs, signal);
     }
   }
@@ -235,12 +235,12 @@
   }
 
   #createBeat(): Beat {
-    const { holds, seeks } = this.#readClaim();
+    const { isHolder, isCandidate } = this.#readClaim();
     return {
       kind: "beat",
       isServing: this.#lifecycle.isServing,
-      holdsPlacement: holds,
-      seeksPlacement: seeks,
+      holdsPlacement: isHolder,
+      seeksPlacement: isCandidate,
       capacity: this.#intake.capacity,
       ...this.#exchange.describe(),
       outstanding: [...this.#readOutstanding()],
@@ -300,7 +300,7 @@
     signal: AbortSignal,
   ): Promise<void> {
     let link: Link | undefined;
-    const silence = new SilenceLimit(
+    const silence = new IdleTimeout(
       this.#clock,
       MISSED_BEATS * this.#beatMs,
       () => connection.close(),
@@ -374,7 +374,7 @@
     if (link !== undefined && this.#links.get(link.entry.name) === link) {
       this.#links.delete(link.entry.name);
       this.#exchange.forget(link.entry.name);
-      this.#work.forget(link.entry.name);
+      this.#work.remove(link.entry.name);
       this.#logger.info("peer_lost", {
         peer: link.entry.name,
         heard_ms_ago: Math.round(this.#clock.now() - link.heardAt),
@@ -389,7 +389,7 @@
     },
     beat: (link, beat) => {
       link.beat = beat;
-      this.#work.put(link.entry.name, beat.outstanding, this.#clock.now());
+      this.#work.update(link.entry.name, beat.outstanding, this.#clock.now());
       this.#exchange.compare(link.entry.name, beat)
         .forEach((request) => this.#send(link, request));
     },
--- a/packages/relay/src/peers/peer-work.ts
+++ b/packages/relay/src/peers/peer-loads.ts
@@ -19,11 +19,11 @@
 }
 
 /** What each peer's last beat said, by peer and instance. */
-export class PeerWork {
+export class PeerLoads {
   #peers = new Map<string, Beat>();
 
   /** Takes what a beat says that came now. */
-  put(peer: string, counts: readonly OutstandingCount[], now: number): void {
+  update(peer: string, counts: readonly OutstandingCount[], now: number): void {
     const works = new Map(
       counts.map(([instance, requests, eventAgeMs]) => [instance, {
         requests,
@@ -34,7 +34,7 @@
   }
 
   /** Forgets a peer that was lost. */
-  forget(peer: string): void {
+  remove(peer: string): void {
     this.#peers.delete(peer);
   }
 
@@ -51,7 +51,7 @@
    * Requests of all peers at an instance that have probably not ended since the
    * beats that named them, if one takes `meanMs`.
    */
-  countSurviving(instance: string, meanMs: number, now: number): number {
+  estimateCount(instance: string, meanMs: number, now: number): number {
     let count = 0;
     for (const { at, works } of this.#peers.values()) {
       const requests = works.get(instance)?.requests ?? 0;
@@ -61,7 +61,7 @@
   }
 
   /** When an event of an instance last came to a peer, as far as is known. */
-  findEventAt(instance: string): number {
+  findLastEventAt(instance: string): number {
     let eventAt = -Infinity;
     for (const { works } of this.#peers.values()) {
       eventAt = Math.max(eventAt, works.get(instance)?.eventAt ?? -Infinity);
--- a/packages/relay/src/peers/peer.ts
+++ b/packages/relay/src/peers/peer.ts
@@ -22,19 +22,19 @@
 }
 
 /** What a node says of placement. */
-export interface PlacementClaim {
-  readonly holds: boolean;
-  readonly seeks: boolean;
+export interface PlacementRole {
+  readonly isHolder: boolean;
+  readonly isCandidate: boolean;
 }
 
 /** Adds to a beat what another service knows. */
-export type BeatSource = () => readonly OutstandingCount[];
+export type OutstandingSource = () => readonly OutstandingCount[];
 
 /** Messages that other services handle. */
 export type ForwardedKind = "suspect" | "release" | "released" | "news";
 
 /** Listeners of other services, by kind of message. */
-export type Listeners = {
+export type MessageListeners = {
   [Kind in ForwardedKind]?: (
     message: MessageOf<Kind>,
     sender: NodeEntry,
--- a/packages/relay/src/placement/controller.ts
+++ b/packages/relay/src/placement/controller.ts
@@ -111,7 +111,7 @@
   }
 
   start(): void {
-    this.#mesh.on("suspect", ({ group, epoch, instance }) => {
+    this.#mesh.onMessage("suspect", ({ group, epoch, instance }) => {
       this.#groups.suspect(group, epoch, `peer about ${instance}`);
       this.check(group, epoch);
     });
@@ -231,7 +231,7 @@
         (signal) => this.#endings.drain(group, signal),
       );
     } else if (
-      !isWhole && this.#feeds.reachableMs("instances") >= RETURN_MS
+      !isWhole && this.#feeds.sinceOutageMs("instances") >= RETURN_MS
     ) {
       this.check(group.name, group.epoch);
     }
--- a/packages/relay/src/placement/holder.ts
+++ b/packages/relay/src/placement/holder.ts
@@ -93,10 +93,10 @@
     this.#holderSeenAt = this.#startedAt;
     this.#feeds = kernel.find("feeds");
     // Orders are based on what this node has read.
-    this.#feeds.hurryWhile(() => this.isHolder);
-    this.#mesh.reportPlacement(() => ({
-      holds: this.isHolder,
-      seeks: this.#seeks,
+    this.#feeds.readAtFullRateWhile(() => this.isHolder);
+    this.#mesh.setPlacementSource(() => ({
+      isHolder: this.isHolder,
+      isCandidate: this.#seeks,
     }));
     // A restarted process must not take its predecessor's place for granted.
     this.#member = `${kernel.find("settings").node.name}/${this.#random.id()}`;
@@ -231,7 +231,7 @@
       this.#isMember = true;
       this.#seeks = true;
       this.#joinAt = undefined;
-      this.#mesh.beatNow();
+      this.#mesh.broadcastHeartbeat();
     }
   }
 
@@ -270,7 +270,7 @@
     if (!wasHolder) {
       this.#heldSince = this.#clock.now();
       this.#logger.info("placement_held", { fence: generation });
-      this.#mesh.beatNow();
+      this.#mesh.broadcastHeartbeat();
     }
   }
 
@@ -287,7 +287,7 @@
       this.#machine.send("lose");
       this.#heldUntil = -Infinity;
       this.#logger.info("placement_lost", { fence: this.#generation, reason });
-      this.#mesh.beatNow();
+      this.#mesh.broadcastHeartbeat();
     }
   }
 }
--- a/packages/relay/src/placement/lead-release.ts
+++ b/packages/relay/src/placement/lead-release.ts
@@ -57,7 +57,7 @@
     this.#engines = kernel.find("engines");
     this.#mesh = kernel.find("mesh");
     this.#tasks = new TaskGroup(this.#clock, this.#logger);
-    this.#mesh.on("release", (message, sender) => {
+    this.#mesh.onMessage("release", (message, sender) => {
       this.#tasks.run("release_for_peer", async (signal) => {
         const outcome = await this.#try(message, signal);
         const { lead, address, group, epoch } = message;
@@ -71,7 +71,7 @@
         });
       });
     });
-    this.#mesh.on("released", ({ group, epoch, outcome }, sender) => {
+    this.#mesh.onMessage("released", ({ group, epoch, outcome }, sender) => {
       this.#note(createGroupKey(group, epoch), sender.name, outcome);
     });
   }
@@ -89,7 +89,7 @@
     signal: AbortSignal,
   ): Promise<ReleaseOutcome> {
     const key = createGroupKey(group, epoch);
-    const own = this.#mesh.own.name;
+    const own = this.#mesh.ownEntry.name;
     const peers = this.#mesh.list().map(({ entry }) => entry.name);
     const release: Release = {
       nodes: new Set([own, ...peers]),
--- a/packages/relay/src/placement/unlisted-leads.ts
+++ b/packages/relay/src/placement/unlisted-leads.ts
@@ -47,7 +47,7 @@
   /** Judges a group that has no listed lead. */
   judge({ name }: Group): LeadStanding {
     const lead = readGroupLead(name);
-    if (this.#feeds.reachableMs("instances") < RETURN_MS) {
+    if (this.#feeds.sinceOutageMs("instances") < RETURN_MS) {
       return "may-return";
     }
     // A lead that is listed without the group has left it.
--- a/packages/relay/src/relay-node.ts
+++ b/packages/relay/src/relay-node.ts
@@ -18,7 +18,7 @@
 import { Groups } from "./hosts/groups.ts";
 import { Instances } from "./hosts/instances.ts";
 import { Lifecycle } from "./lifecycle.ts";
-import { InstanceNews } from "./peers/instance-news.ts";
+import { InstanceUpdates } from "./peers/instance-updates.ts";
 import { Mesh } from "./peers/mesh.ts";
 import { PlacementController } from "./placement/controller.ts";
 import { Demand } from "./placement/demand.ts";
@@ -28,7 +28,7 @@
 import type { RelaySettings } from "./relay-settings.ts";
 import { CurrentConfiguration } from "./routing/current-configuration.ts";
 import { Dispatcher } from "./routing/dispatcher.ts";
-import { Outstanding } from "./routing/outstanding.ts";
+import { OutstandingRequests } from "./routing/outstanding-requests.ts";
 import type {
   OutsideServices,
   RelayKernel,
@@ -135,7 +135,7 @@
     .provide(
       "instanceNews",
       [...CORE, "feeds", "instances", "mesh", "holder"],
-      (services) => new InstanceNews(services),
+      (services) => new InstanceUpdates(services),
     )
     .provide("demand", CORE, (services) => new Demand(services))
     .provide(
@@ -168,7 +168,7 @@
     .provide(
       "outstanding",
       [...CORE, "groups", "mesh", "placement"],
-      (services) => new Outstanding(services),
+      (services) => new OutstandingRequests(services),
     )
     .provide(
       "dispatcher",
--- a/packages/relay/src/routing/current-configuration.ts
+++ b/packages/relay/src/routing/current-configuration.ts
@@ -27,7 +27,7 @@
   }
 
   /** Routes and accounts in force; undefined before the first version. */
-  get table(): RouteTable | undefined {
+  get routeTable(): RouteTable | undefined {
     return this.#table;
   }
 
--- a/packages/relay/src/routing/dispatcher.ts
+++ b/packages/relay/src/routing/dispatcher.ts
@@ -14,11 +14,11 @@
 } from "../model/configuration.ts";
 import type { Instance } from "../model/instance.ts";
 import type { RelayKernel } from "../services.ts";
-import { drawByLoad } from "./load-choice.ts";
-import type { LedGroup, Outstanding } from "./outstanding.ts";
+import { selectByLoad } from "./load-balancing.ts";
+import type { GroupRef, OutstandingRequests } from "./outstanding-requests.ts";
 
 /** What a choice depends on. */
-export interface Wish {
+export interface SelectionCriteria {
   readonly service: ServiceProfile;
   readonly model: string | undefined;
   /** 0 is the most urgent. */
@@ -27,13 +27,13 @@
   /** Instances that this request was already given to. */
   readonly excluded: ReadonlySet<string>;
   /** Whether work that was begun would be lost without another instance. */
-  readonly isContinued: boolean;
+  readonly mayHaveRun: boolean;
 }
 
 /** The instance that a request is given to. */
-export interface Choice {
+export interface Selection {
   readonly instance: Instance;
-  readonly group: LedGroup | undefined;
+  readonly group: GroupRef | undefined;
   /** Requests at the instance before this one. */
   readonly load: number;
 }
@@ -61,7 +61,7 @@
   #random: Random;
   #instances: Instances;
   #groups: Groups;
-  #outstanding: Outstanding;
+  #outstanding: OutstandingRequests;
   #unreachableUntil = new Map<string, number>();
 
   constructor(kernel: RelayKernel) {
@@ -73,7 +73,7 @@
   }
 
   /** Chooses an instance with room. */
-  choose(wish: Wish): Result<Choice, Refusal> {
+  select(wish: SelectionCriteria): Result<Selection, Refusal> {
     const { engine } = wish.service;
     return engine === undefined
       ? this.#choosePlain(wish)
@@ -81,15 +81,15 @@
   }
 
   /** A lead that refuses as misdirected no longer leads its group. */
-  noteMisdirected({ instance, group }: Choice): void {
-    this.noteUnreachable(instance);
+  markMisdirected({ instance, group }: Selection): void {
+    this.markUnreachable(instance);
     if (group !== undefined) {
       this.#groups.suspect(group.name, group.epoch, "misdirected request");
     }
   }
 
   /** Leaves an instance alone for some time. */
-  noteUnreachable({ id }: Instance): void {
+  markUnreachable({ id }: Instance): void {
     this.#unreachableUntil.set(id, this.#clock.now() + UNREACHABLE_MS);
   }
 
@@ -97,7 +97,7 @@
     return { unreachable: [...this.#unreachableUntil.keys()] };
   }
 
-  #choosePlain(wish: Wish): Result<Choice, Refusal> {
+  #choosePlain(wish: SelectionCriteria): Result<Selection, Refusal> {
     const listed = this.#instances.listReady(wish.service.name);
     const reachable = listed.filter((instance) => this.#isReachable(instance));
     const candidates = reachable.length > 0 ? reachable : listed;
@@ -110,7 +110,10 @@
       : Result.ok(chosen);
   }
 
-  #chooseGroup(wish: Wish, engine: EngineProfile): Result<Choice, Refusal> {
+  #chooseGroup(
+    wish: SelectionCriteria,
+    engine: EngineProfile,
+  ): Result<Selection, Refusal> {
     const groups = this.#groups.listServable(
       wish.service.name,
       wish.model ?? engine.models[0]?.name ?? "",
@@ -125,7 +128,10 @@
       : Result.ok(chosen);
   }
 
-  #refuseOverloaded(wish: Wish, choices: readonly Choice[]): Refusal {
+  #refuseOverloaded(
+    wish: SelectionCriteria,
+    choices: readonly Selection[],
+  ): Refusal {
     const least = Math.min(...choices.map(({ load }) => load));
     return new Refusal(
       "overloaded",
@@ -135,7 +141,7 @@
     );
   }
 
-  #refuseWithoutUpstream(wish: Wish): Refusal {
+  #refuseWithoutUpstream(wish: SelectionCriteria): Refusal {
     const { service: { name }, model } = wish;
     const what = model === undefined ? name : `${name} ${model}`;
     return new Refusal(
@@ -147,7 +153,7 @@
   }
 
   /** Soon where the target can still be met, else when the peak may be over. */
-  #drawRetryAfterMs({ targetMs }: Wish): number {
+  #drawRetryAfterMs({ targetMs }: SelectionCriteria): number {
     const middleMs = targetMs > 2 * EARLY_RETRY_MS
       ? EARLY_RETRY_MS
       : LATE_RETRY_MS;
@@ -155,7 +161,7 @@
     return middleMs * (1 + jitter);
   }
 
-  #listLead(group: Group, { excluded }: Wish): Choice[] {
+  #listLead(group: Group, { excluded }: SelectionCriteria): Selection[] {
     const { lead } = group;
     return lead === undefined || excluded.has(lead.id) ||
         !this.#isReachable(lead)
@@ -163,15 +169,15 @@
       : [this.#createChoice(lead, { name: group.name, epoch: group.epoch })];
   }
 
-  #createChoice(instance: Instance, group: LedGroup | undefined): Choice {
+  #createChoice(instance: Instance, group: GroupRef | undefined): Selection {
     return { instance, group, load: this.#outstanding.count(instance.id) };
   }
 
-  #draw(choices: readonly Choice[], limit: number): Choice | undefined {
-    const { loads, unseen } = this.#outstanding.estimate(
+  #draw(choices: readonly Selection[], limit: number): Selection | undefined {
+    const { loads, unreported } = this.#outstanding.estimateLoads(
       choices.map(({ instance }) => instance.id),
     );
-    const index = drawByLoad(loads, unseen, limit, this.#random);
+    const index = selectByLoad(loads, unreported, limit, this.#random);
     return index === undefined ? undefined : choices[index];
   }
 
@@ -193,10 +199,10 @@
  * wait for places that come free in time; the least urgent leave some free.
  */
 function computeLoadLimit(
-  { rank, targetMs, isContinued }: Wish,
+  { rank, targetMs, mayHaveRun }: SelectionCriteria,
   { slots }: EngineProfile,
 ): number {
-  if (isContinued) {
+  if (mayHaveRun) {
     return slots * CONTINUED_LOAD_FACTOR;
   }
   return rank >= DEFERRABLE_RANK
--- a/packages/relay/src/routing/load-choice.ts
+++ b/packages/relay/src/routing/load-balancing.ts
@@ -18,7 +18,7 @@
  * together fill the upstreams evenly. If every node chose the least load, all
  * would choose the same upstream until the next counts.
  */
-export function drawByLoad(
+export function selectByLoad(
   loads: readonly number[],
   unseen: number,
   limit: number,
--- a/packages/relay/src/routing/outstanding.ts
+++ b/packages/relay/src/routing/outstanding-requests.ts
@@ -13,33 +13,33 @@
 import type { Mesh } from "../peers/mesh.ts";
 import type { PlacementController } from "../placement/controller.ts";
 import type { RelayKernel } from "../services.ts";
-import { RequestTimes } from "./request-times.ts";
+import { RequestDurations } from "./request-durations.ts";
 
 /** A request that one instance works on. */
-export interface Ticket {
+export interface OutstandingRequest {
   /** Events of the response came from the instance. */
-  noteProgress(): void;
+  recordEvent(): void;
   /** Called once when nothing moves at the instance any more. */
   onStall(listener: () => void): void;
   end(): void;
 }
 
 /** The group that an instance leads. */
-export interface LedGroup {
+export interface GroupRef {
   readonly name: string;
   readonly epoch: number;
 }
 
 /** Requests at instances, as far as they can be known. */
 export interface LoadEstimate {
-  /** Requests at each instance, without those that are unseen. */
+  /** Requests at each instance, without those that are unreported. */
   readonly loads: readonly number[];
   /** Requests of other nodes that are at one of the instances by now. */
-  readonly unseen: number;
+  readonly unreported: number;
 }
 
 interface Work {
-  readonly group: LedGroup | undefined;
+  readonly group: GroupRef | undefined;
   readonly tickets: Set<TicketState>;
   /** When an event last came to this node. */
   eventAt: number;
@@ -70,7 +70,7 @@
 const UNBEGUN_STALL_MS = 600;
 
 /** Counts this node's requests by instance and notices groups that stall. */
-export class Outstanding implements Service {
+export class OutstandingRequests implements Service {
   #clock: Clock;
   #logger: Logger;
   #groups: Groups;
@@ -78,7 +78,7 @@
   #placement: PlacementController;
   #tasks: TaskGroup;
   #work = new Map<string, Work>();
-  #times: RequestTimes;
+  #times: RequestDurations;
 
   constructor(kernel: RelayKernel) {
     this.#clock = kernel.find("clock");
@@ -87,11 +87,11 @@
     this.#mesh = kernel.find("mesh");
     this.#placement = kernel.find("placement");
     this.#tasks = new TaskGroup(this.#clock, this.#logger);
-    this.#times = new RequestTimes(this.#clock);
+    this.#times = new RequestDurations(this.#clock);
   }
 
   start(): void {
-    this.#mesh.reportOutstanding(() =>
+    this.#mesh.setOutstandingSource(() =>
       [...this.#work].map(([id, { tickets, eventAt }]) => [
         id,
         tickets.size,
@@ -117,7 +117,7 @@
   /** Requests at an instance, those of other nodes included. */
   count(instance: string): number {
     const own = this.#work.get(instance)?.tickets.size ?? 0;
-    return own + this.#mesh.work.count(instance);
+    return own + this.#mesh.peerLoads.count(instance);
   }
 
   /**
@@ -125,26 +125,26 @@
    * of peers name have ended since. About as many others were sent meanwhile,
    * and it is not known where to.
    */
-  estimate(instances: readonly string[]): LoadEstimate {
+  estimateLoads(instances: readonly string[]): LoadEstimate {
     const now = this.#clock.now();
-    const { work } = this.#mesh;
+    const { peerLoads } = this.#mesh;
     const meanMs = this.#times.meanMs(instances);
-    let unseen = 0;
+    let unreported = 0;
     const loads = instances.map((id) => {
       const own = this.#work.get(id)?.tickets.size ?? 0;
-      const surviving = work.countSurviving(id, meanMs, now);
-      unseen += work.count(id) - surviving;
+      const surviving = peerLoads.estimateCount(id, meanMs, now);
+      unreported += peerLoads.count(id) - surviving;
       return own + surviving;
     });
-    return { loads, unseen };
+    return { loads, unreported };
   }
 
   /** Counts a request until its ticket ends. */
   begin(
     instance: string,
-    group: LedGroup | undefined,
+    group: GroupRef | undefined,
     isStream: boolean,
-  ): Ticket {
+  ): OutstandingRequest {
     const now = this.#clock.now();
     const work = this.#findWork(instance, group);
     const state: TicketState = {
@@ -156,7 +156,7 @@
     };
     work.tickets.add(state);
     return {
-      noteProgress: () => {
+      recordEvent: () => {
         state.hasBegun = true;
         this.#noteProgress(work);
       },
@@ -185,7 +185,7 @@
     }));
   }
 
-  #findWork(instance: string, group: LedGroup | undefined): Work {
+  #findWork(instance: string, group: GroupRef | undefined): Work {
     const known = this.#work.get(instance);
     if (known !== undefined && known.group?.name === group?.name) {
       return known;
@@ -214,9 +214,10 @@
         continue;
       }
       const hasBegun = streams.some(({ hasBegun }) => hasBegun);
-      const eventAt = hasBegun
-        ? work.eventAt
-        : Math.max(work.eventAt, this.#mesh.work.findEventAt(instance));
+      const eventAt = hasBegun ? work.eventAt : Math.max(
+        work.eventAt,
+        this.#mesh.peerLoads.findLastEventAt(instance),
+      );
       const quietMs = now - Math.max(eventAt, oldest.startedAt);
       if (quietMs >= this.#chooseLimitMs(hasBegun, work.group)) {
         this.#reportStall(instance, work, work.group, quietMs);
@@ -225,7 +226,7 @@
   }
 
   /** Evidence of another node makes this node's own, weaker one count. */
-  #chooseLimitMs(hasBegun: boolean, group: LedGroup): number {
+  #chooseLimitMs(hasBegun: boolean, group: GroupRef): number {
     return hasBegun || this.#groups.isSuspected(group)
       ? STALL_MS
       : UNBEGUN_STALL_MS;
@@ -234,7 +235,7 @@
   #reportStall(
     instance: string,
     work: Work,
-    { name, epoch }: LedGroup,
+    { name, epoch }: GroupRef,
     quietMs: number,
   ): void {
     const fresh = [...work.tickets].filter(({ isStalled }) => !isStalled);
--- a/packages/relay/src/routing/request-times.ts
+++ b/packages/relay/src/routing/request-durations.ts
@@ -20,7 +20,7 @@
 }
 
 /** Measures requests by instance. */
-export class RequestTimes {
+export class RequestDurations {
   #clock: Pick<Clock, "now">;
   #times = new Map<string, Times>();
 
--- a/packages/relay/src/routing/repeat-budget.ts
+++ b/packages/relay/src/routing/retry-budget.ts
@@ -6,7 +6,7 @@
 import type { Clock } from "@zinniahill/kernel";
 
 /** The shared budget and this node's part of it. */
-export interface RepeatLimits {
+export interface RetryLimits {
   /** Repeats allowed for each first attempt. */
   readonly ratio: number;
   readonly windowMs: number;
@@ -29,25 +29,25 @@
  * first attempts and an equal part of the allowance, so that no message is
  * needed to keep the sum.
  */
-export class RepeatBudget {
+export class RetryBudget {
   #clock: Clock;
-  #limits: RepeatLimits;
+  #limits: RetryLimits;
   #countNodes: () => number;
   #services = new Map<string, Bucket[]>();
 
-  constructor(clock: Clock, limits: RepeatLimits, countNodes: () => number) {
+  constructor(clock: Clock, limits: RetryLimits, countNodes: () => number) {
     this.#clock = clock;
     this.#limits = limits;
     this.#countNodes = countNodes;
   }
 
   /** Counts a first attempt. */
-  noteFirst(service: string): void {
+  deposit(service: string): void {
     this.#openBucket(service).first++;
   }
 
   /** Takes one repeat; false when none is left. */
-  tryTake(service: string): boolean {
+  tryWithdraw(service: string): boolean {
     const bucket = this.#openBucket(service);
     const buckets = this.#services.get(service)!;
     const first = buckets.reduce((sum, { first }) => sum + first, 0);
--- a/packages/relay/src/routing/route-table.ts
+++ b/packages/relay/src/routing/route-table.ts
@@ -54,7 +54,7 @@
   }
 
   /** Draws one of a route's services by weight. */
-  drawService(route: Route, random: Random): Service | undefined {
+  pickService(route: Route, random: Random): Service | undefined {
     const total = route.destinations.reduce(
       (sum, { weight }) => sum + weight,
       0,
--- a/packages/relay/src/services.ts
+++ b/packages/relay/src/services.ts
@@ -20,7 +20,7 @@
   Seat,
   Topics,
 } from "./outside.ts";
-import type { InstanceNews } from "./peers/instance-news.ts";
+import type { InstanceUpdates } from "./peers/instance-updates.ts";
 import type { Mesh } from "./peers/mesh.ts";
 import type { PlacementController } from "./placement/controller.ts";
 import type { Demand } from "./placement/demand.ts";
@@ -30,7 +30,7 @@
 import type { RelaySettings } from "./relay-settings.ts";
 import type { CurrentConfiguration } from "./routing/current-configuration.ts";
 import type { Dispatcher } from "./routing/dispatcher.ts";
-import type { Outstanding } from "./routing/outstanding.ts";
+import type { OutstandingRequests } from "./routing/outstanding-requests.ts";
 import type { Answers } from "./serving/answers.ts";
 import type { Attempts } from "./serving/attempts.ts";
 import type { Front } from "./serving/front.ts";
@@ -60,11 +60,11 @@
   groups: Groups;
   mesh: Mesh;
   holder: Holder;
-  instanceNews: InstanceNews;
+  instanceNews: InstanceUpdates;
   demand: Demand;
   leadRelease: LeadRelease;
   placement: PlacementController;
-  outstanding: Outstanding;
+  outstanding: OutstandingRequests;
   dispatcher: Dispatcher;
   attempts: Attempts;
   answers: Answers;
--- a/packages/relay/src/serving/answers.ts
+++ b/packages/relay/src/serving/answers.ts
@@ -212,7 +212,7 @@
       progress.lastEventId ?? facts.lastEventId,
     );
     for await (const chunk of reply.body) {
-      ticket.noteProgress();
+      ticket.recordEvent();
       const block = splitter.push(chunk);
       if (block === undefined) {
         continue;
--- a/packages/relay/src/serving/attempts.ts
+++ b/packages/relay/src/serving/attempts.ts
@@ -7,9 +7,12 @@
 import { Refusal, type Verdict } from "@zinniahill/schema";
 import { Result } from "true-myth";
 import type { ReplyFacts, RequestFormat } from "../outside.ts";
-import type { Choice, Dispatcher } from "../routing/dispatcher.ts";
-import type { Outstanding, Ticket } from "../routing/outstanding.ts";
-import { RepeatBudget } from "../routing/repeat-budget.ts";
+import type { Dispatcher, Selection } from "../routing/dispatcher.ts";
+import type {
+  OutstandingRequest,
+  OutstandingRequests,
+} from "../routing/outstanding-requests.ts";
+import { RetryBudget } from "../routing/retry-budget.ts";
 import type { RelayKernel } from "../services.ts";
 import {
   type AttemptFault,
@@ -21,9 +24,9 @@
 
 /** One attempt whose response has begun. */
 export interface OpenAttempt {
-  readonly choice: Choice;
+  readonly choice: Selection;
   readonly exchange: Exchange;
-  readonly ticket: Ticket;
+  readonly ticket: OutstandingRequest;
   readonly reply: UpstreamReply;
   readonly facts: ReplyFacts;
   /** Ends the attempt; the upstream stops its work if it has not ended. */
@@ -51,8 +54,8 @@
   #logger: Logger;
   #format: RequestFormat;
   #dispatcher: Dispatcher;
-  #outstanding: Outstanding;
-  #budget: RepeatBudget;
+  #outstanding: OutstandingRequests;
+  #budget: RetryBudget;
 
   constructor(kernel: RelayKernel) {
     this.#clock = kernel.find("clock");
@@ -61,7 +64,7 @@
     this.#dispatcher = kernel.find("dispatcher");
     this.#outstanding = kernel.find("outstanding");
     const mesh = kernel.find("mesh");
-    this.#budget = new RepeatBudget(
+    this.#budget = new RetryBudget(
       this.#clock,
       kernel.find("settings").retries,
       () => mesh.countNodes(),
@@ -109,7 +112,7 @@
   /** Whether one more upstream may be given the request. */
   mayRepeat({ service, route, sentTo, deadlineAt }: RelayedRequest): boolean {
     return sentTo.size < route.maxAttempts && this.#clock.now() < deadlineAt &&
-      this.#budget.tryTake(service.name);
+      this.#budget.tryWithdraw(service.name);
   }
 
   dump(): unknown {
@@ -119,22 +122,22 @@
   #choose(
     relayed: RelayedRequest,
     excluded: ReadonlySet<string> = relayed.sentTo,
-  ): Result<Choice, Refusal> {
+  ): Result<Selection, Refusal> {
     const { service, facts, rank, route } = relayed;
-    return this.#dispatcher.choose({
+    return this.#dispatcher.select({
       service,
       model: facts.model,
       rank,
       targetMs: route.targetMs,
       excluded,
-      isContinued: relayed.mayHaveRun,
+      mayHaveRun: relayed.mayHaveRun,
     });
   }
 
   /** Makes one attempt up to the head of the response. */
   async #send(
     relayed: RelayedRequest,
-    choice: Choice,
+    choice: Selection,
     lastEventId: string | undefined,
   ): Promise<Result<OpenAttempt, AttemptFault>> {
     const { instance, group } = choice;
@@ -168,7 +171,7 @@
       onGone();
     }
     if (relayed.sentTo.size === 0) {
-      this.#budget.noteFirst(relayed.service.name);
+      this.#budget.deposit(relayed.service.name);
     }
     const sent = await exchange.send(
       this.#createRequest(relayed, choice, lastEventId),
@@ -178,7 +181,7 @@
     }
     if (sent.isErr) {
       if (!exchange.isSent) {
-        this.#dispatcher.noteUnreachable(instance);
+        this.#dispatcher.markUnreachable(instance);
       }
       end(ATTEMPT_ENDED);
       return Result.err(sent.error);
@@ -188,7 +191,7 @@
     const fault = findFault(relayed, reply, facts);
     if (fault !== undefined) {
       if (reply.status === MISDIRECTED_STATUS) {
-        this.#dispatcher.noteMisdirected(choice);
+        this.#dispatcher.markMisdirected(choice);
       }
       end(ATTEMPT_ENDED);
       return Result.err(fault);
@@ -198,7 +201,7 @@
 
   #createRequest(
     relayed: RelayedRequest,
-    { instance }: Choice,
+    { instance }: Selection,
     lastEventId: string | undefined,
   ) {
     const leftMs = relayed.deadlineAt - this.#clock.now() - RETURN_MARGIN_MS;
@@ -224,7 +227,7 @@
   }
 
   /** Whether another group has room for a request whose group stalls. */
-  #canMove(relayed: RelayedRequest, { instance }: Choice): boolean {
+  #canMove(relayed: RelayedRequest, { instance }: Selection): boolean {
     const { route, sentTo } = relayed;
     const excluded = new Set([...sentTo, instance.id]);
     return excluded.size < route.maxAttempts &&
@@ -259,7 +262,7 @@
 
   #logFault(
     relayed: RelayedRequest,
-    { instance, group, load }: Choice,
+    { instance, group, load }: Selection,
     { verdict, message }: AttemptFault,
   ): void {
     this.#logger.info("attempt_failed", {
--- a/packages/relay/src/serving/request-reader.ts
+++ b/packages/relay/src/serving/request-reader.ts
@@ -51,7 +51,7 @@
     }
     const route = this.#findRoute(table, facts);
     const account = this.#findAccount(table, route, facts);
-    const service = table.drawService(route, this.#random);
+    const service = table.pickService(route, this.#random);
     if (service === undefined) {
       throw new Refusal("no-upstream", "not-run", "the service is not known");
     }
@@ -78,8 +78,8 @@
   }
 
   #findTable(): RouteTable {
-    const { table } = this.#configuration;
-    if (table === undefined) {
+    const { routeTable } = this.#configuration;
+    if (routeTable === undefined) {
       throw new Refusal(
         "no-configuration",
         "not-run",
@@ -87,7 +87,7 @@
         NO_CONFIGURATION_RETRY_MS,
       );
     }
-    return table;
+    return routeTable;
   }
 
   #findRoute(table: RouteTable, { host, target }: RequestFacts): Route {
--- a/packages/relay/test/entry/lookup.test.ts
+++ b/packages/relay/test/entry/lookup.test.ts
@@ -22,7 +22,7 @@
   peers: readonly (readonly [string, number])[],
 ): Promise<Lookup> {
   const mesh = {
-    own: createEntry("own", "a"),
+    ownEntry: createEntry("own", "a"),
     list: () =>
       peers.map(([dataCentre, capacity], index) => ({
         entry: createEntry(`peer-${index}`, dataCentre),
--- a/packages/relay/test/feeds/feeds.test.ts
+++ b/packages/relay/test/feeds/feeds.test.ts
@@ -99,7 +99,7 @@
     /** Reads of the instances in a second that brings a record each time. */
     async function countReads(nodes: number, isHurried: boolean) {
       const { clock, topics, feeds } = await startFeeds();
-      feeds.hurryWhile(() => isHurried);
+      feeds.readAtFullRateWhile(() => isHurried);
       topics.nodes = nodes;
       topics.isBusy = true;
       feeds.applyFromPeer("nodes", [], 1);
@@ -135,7 +135,7 @@
     ) {
       topics.instanceReads = 0;
       for (let passedMs = 0; passedMs < 9000; passedMs += newsMs) {
-        feeds.applyNews("instances", [], feeds.table("instances").next + 1);
+        feeds.applyUpdate("instances", [], feeds.table("instances").next + 1);
         await clock.advance(newsMs);
       }
       return topics.instanceReads;
@@ -160,14 +160,14 @@
 
     it("reads at its own pace where orders depend on it", async () => {
       const started = await startFed();
-      started.feeds.hurryWhile(() => true);
+      started.feeds.readAtFullRateWhile(() => true);
       expect(await countReads(started, 300)).toBeGreaterThan(100);
     });
 
     it("does not take its own pause for an outage", async () => {
       const started = await startFed();
       await countReads(started, 300);
-      expect(started.feeds.reachableMs("instances")).toBeGreaterThan(9000);
+      expect(started.feeds.sinceOutageMs("instances")).toBeGreaterThan(9000);
     });
   });
 
@@ -180,7 +180,7 @@
       topics.isAway = false;
       await clock.advance(1000);
       expect(feeds.isReachable("instances")).toBe(true);
-      expect(feeds.reachableMs("instances")).toBeGreaterThan(6000);
+      expect(feeds.sinceOutageMs("instances")).toBeGreaterThan(6000);
     });
 
     it("begins anew after reads that failed for longer", async () => {
@@ -190,7 +190,7 @@
       await clock.advance(2500);
       topics.isAway = false;
       await clock.advance(1500);
-      expect(feeds.reachableMs("instances")).toBeLessThan(1501);
+      expect(feeds.sinceOutageMs("instances")).toBeLessThan(1501);
     });
 
     it("is zero while the store stays away", async () => {
@@ -198,16 +198,16 @@
       await clock.advance(5000);
       topics.isAway = true;
       await clock.advance(1500);
-      expect(feeds.reachableMs("instances")).toBe(0);
+      expect(feeds.sinceOutageMs("instances")).toBe(0);
     });
 
     it("is zero until the first read, as an outage may have gone before", async () => {
       const { clock, topics, feeds } = await startFeeds(true);
       await clock.advance(400);
-      expect(feeds.reachableMs("instances")).toBe(0);
+      expect(feeds.sinceOutageMs("instances")).toBe(0);
       topics.isAway = false;
       await clock.advance(1500);
-      expect(feeds.reachableMs("instances")).toBeLessThan(1501);
+      expect(feeds.sinceOutageMs("instances")).toBeLessThan(1501);
     });
   });
 });
--- a/packages/relay/test/feeds/key-table.test.ts
+++ b/packages/relay/test/feeds/record-table.test.ts
@@ -1,6 +1,6 @@
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
-import { KeyTable } from "../../src/feeds/key-table.ts";
+import { RecordTable } from "../../src/feeds/record-table.ts";
 import type { KeyRecord } from "../../src/index.ts";
 
 const anyLog: fc.Arbitrary<KeyRecord[]> = fc.array(
@@ -11,13 +11,13 @@
   { maxLength: 20 },
 ).map((records) => records.map((record, offset) => ({ ...record, offset })));
 
-function readValues(table: KeyTable): Record<string, string | undefined> {
+function readValues(table: RecordTable): Record<string, string | undefined> {
   return Object.fromEntries(
     table.list().map(({ key, value }) => [key, value]),
   );
 }
 
-describe("KeyTable", () => {
+describe("RecordTable", () => {
   describe("records in any order", () => {
     it("never lets an older record replace a newer one", () => {
       fc.assert(fc.property(
@@ -28,9 +28,9 @@
           )
         ),
         ([log, shuffled]) => {
-          const inOrder = new KeyTable();
+          const inOrder = new RecordTable();
           inOrder.apply(log, log.length);
-          const mixed = new KeyTable();
+          const mixed = new RecordTable();
           shuffled.forEach((record) => mixed.apply([record], 0));
           expect(readValues(mixed)).toEqual(readValues(inOrder));
         },
@@ -38,7 +38,7 @@
     });
 
     it("reports only records that changed something", () => {
-      const table = new KeyTable();
+      const table = new RecordTable();
       table.apply([{ key: "a", offset: 5, value: "new" }], 6);
       expect(table.apply([{ key: "a", offset: 3, value: "old" }], 6))
         .toEqual([]);
@@ -47,14 +47,14 @@
 
   describe("snapshots", () => {
     it("delete keys that they do not name", () => {
-      const table = new KeyTable();
+      const table = new RecordTable();
       table.apply([{ key: "gone", offset: 1, value: "x" }], 2);
       table.applySnapshot([{ key: "kept", offset: 4, value: "y" }], 9);
       expect(readValues(table)).toEqual({ kept: "y" });
     });
 
     it("do not delete a key whose record is newer", () => {
-      const table = new KeyTable();
+      const table = new RecordTable();
       table.apply([{ key: "new", offset: 12, value: "x" }], 13);
       table.applySnapshot([], 9);
       expect(readValues(table)).toEqual({ new: "x" });
--- a/packages/relay/test/peers/feed-exchange.test.ts
+++ b/packages/relay/test/peers/feed-exchange.test.ts
@@ -1,6 +1,6 @@
 import { Kernel, ManualClock } from "@zinniahill/kernel";
 import { describe, expect, it } from "vitest";
-import { KeyTable } from "../../src/feeds/key-table.ts";
+import { RecordTable } from "../../src/feeds/record-table.ts";
 import type { MessageOf } from "../../src/model/peer-message.ts";
 import { FeedExchange } from "../../src/peers/feed-exchange.ts";
 import type { RelayKernel, RelayServices } from "../../src/services.ts";
@@ -27,13 +27,13 @@
     table: (_feed: string) => table,
     ageMs: () => 3,
     pauseMs: 0,
-    collectMs: () => feeds.pauseMs,
+    batchDelayMs: () => feeds.pauseMs,
     isReachable: () => feeds.isStoreReachable,
-    noteCurrent: (_feed: string, ageMs: number) => {
+    markUpToDate: (_feed: string, ageMs: number) => {
       feeds.currentAges.push(ageMs);
     },
   };
-  const table = new KeyTable();
+  const table = new RecordTable();
   const silent = { error() {}, warn() {}, info() {}, debug() {} };
   const kernel: RelayKernel = new Kernel<RelayServices>();
   kernel
--- a/packages/relay/test/peers/silence-limit.test.ts
+++ b/packages/relay/test/peers/idle-timeout.test.ts
@@ -1,17 +1,17 @@
 import { ManualClock } from "@zinniahill/kernel";
 import { describe, expect, it } from "vitest";
-import { SilenceLimit } from "../../src/peers/silence-limit.ts";
+import { IdleTimeout } from "../../src/peers/idle-timeout.ts";
 
 function start() {
   const clock = new ManualClock();
   const seen = { calls: 0 };
-  const limit = new SilenceLimit(clock, 900, () => {
+  const limit = new IdleTimeout(clock, 900, () => {
     seen.calls++;
   });
   return { clock, seen, limit };
 }
 
-describe("SilenceLimit", () => {
+describe("IdleTimeout", () => {
   describe("a silent peer", () => {
     it("calls once when no message comes, so that a dead peer is dropped", async () => {
       const { clock, seen } = start();
--- a/packages/relay/test/peers/instance-news.test.ts
+++ b/packages/relay/test/peers/instance-updates.test.ts
@@ -1,9 +1,9 @@
 import { Kernel, ManualClock } from "@zinniahill/kernel";
 import { describe, expect, it } from "vitest";
-import { KeyTable } from "../../src/feeds/key-table.ts";
+import { RecordTable } from "../../src/feeds/record-table.ts";
 import type { NewsListener } from "../../src/hosts/instances.ts";
 import type { KeyRecord, MessageOf } from "../../src/model/peer-message.ts";
-import { InstanceNews } from "../../src/peers/instance-news.ts";
+import { InstanceUpdates } from "../../src/peers/instance-updates.ts";
 import type { RelayKernel, RelayServices } from "../../src/services.ts";
 
 type News = MessageOf<"news">;
@@ -15,7 +15,7 @@
 /** A node whose reads and messages the test makes. */
 async function create() {
   const clock = new ManualClock();
-  const table = new KeyTable();
+  const table = new RecordTable();
   const world = {
     clock,
     table,
@@ -33,7 +33,7 @@
     },
   };
   const mesh = {
-    on: (_kind: string, listener: (news: News) => void) => {
+    onMessage: (_kind: string, listener: (news: News) => void) => {
       world.hear = listener;
     },
     broadcast: (message: News) => {
@@ -42,7 +42,7 @@
   };
   const feeds = {
     table: () => table,
-    applyNews: (_feed: string, records: KeyRecord[], next: number) => {
+    applyUpdate: (_feed: string, records: KeyRecord[], next: number) => {
       table.apply(records, next);
     },
   };
@@ -63,11 +63,11 @@
         }) as never,
     );
   await kernel.start();
-  new InstanceNews(kernel);
+  new InstanceUpdates(kernel);
   return world;
 }
 
-describe("InstanceNews", () => {
+describe("InstanceUpdates", () => {
   describe("the holder of placement", () => {
     it("tells what is new at once, and between which offsets", async () => {
       const world = await create();
--- a/packages/relay/test/placement/holder.test.ts
+++ b/packages/relay/test/placement/holder.test.ts
@@ -73,8 +73,8 @@
   const mesh = {
     list: () => peers,
     countNodes: () => known.nodes,
-    beatNow: () => {},
-    reportPlacement: () => {},
+    broadcastHeartbeat: () => {},
+    setPlacementSource: () => {},
   } satisfies Partial<Record<keyof Mesh, unknown>>;
   const silent = { error() {}, warn() {}, info() {}, debug() {} };
   const kernel: RelayKernel = new Kernel<RelayServices>();
@@ -89,7 +89,8 @@
     .provide(
       "feeds",
       [],
-      () => ({ hurryWhile: () => {}, isReachable: () => true }) as never,
+      () =>
+        ({ readAtFullRateWhile: () => {}, isReachable: () => true }) as never,
     )
     .provide("seat", [], () => seat);
   await kernel.start();
@@ -169,14 +170,16 @@
       const node = {
         said: createPeer(false),
         isHeard: false,
-        readClaim: () => ({ holds: false, seeks: false }),
+        readClaim: () => ({ isHolder: false, isCandidate: false }),
         holder: undefined as unknown as Holder,
         lifecycle: { isDraining: false },
         isCutOff: false,
       };
       const say = () => {
-        const { holds, seeks } = node.readClaim();
-        const said = createPeer(holds, 1, { seeksPlacement: seeks });
+        const { isHolder, isCandidate } = node.readClaim();
+        const said = createPeer(isHolder, 1, {
+          seeksPlacement: isCandidate,
+        });
         clock.schedule(1, () => {
           node.said = said;
           node.isHeard = true;
@@ -187,8 +190,8 @@
           nodes.filter((other) => other !== node && other.isHeard)
             .map(({ said }) => said),
         countNodes: () => count,
-        beatNow: say,
-        reportPlacement: (source: typeof node.readClaim) => {
+        broadcastHeartbeat: say,
+        setPlacementSource: (source: typeof node.readClaim) => {
           node.readClaim = source;
         },
       };
@@ -209,7 +212,11 @@
         .provide(
           "feeds",
           [],
-          () => ({ hurryWhile: () => {}, isReachable: () => true }) as never,
+          () =>
+            ({
+              readAtFullRateWhile: () => {},
+              isReachable: () => true,
+            }) as never,
         )
         .provide("seat", [], () => seat.of(node));
       await kernel.start();
--- a/packages/relay/test/placement/lead-release.test.ts
+++ b/packages/relay/test/placement/lead-release.test.ts
@@ -65,10 +65,10 @@
       ),
   };
   const peers = answers.map((_answer, index) => createEntry(`n-${index + 2}`));
-  let onReleased: Parameters<Mesh["on"]>[1] | undefined;
+  let onReleased: Parameters<Mesh["onMessage"]>[1] | undefined;
   const mesh = {
-    own: createEntry("n-1"),
-    on: (kind: string, listener: typeof onReleased) => {
+    ownEntry: createEntry("n-1"),
+    onMessage: (kind: string, listener: typeof onReleased) => {
       onReleased = kind === "released" ? listener : onReleased;
     },
     list: () =>
--- a/packages/relay/test/placement/unlisted-leads.test.ts
+++ b/packages/relay/test/placement/unlisted-leads.test.ts
@@ -23,7 +23,7 @@
   const clock = new ManualClock();
   const world = {
     clock,
-    reachableMs: 60_000,
+    sinceOutageMs: 60_000,
     isListed: false,
     outcome: "absent" as ReleaseOutcome,
   };
@@ -34,7 +34,7 @@
     .provide(
       "feeds",
       [],
-      () => ({ reachableMs: () => world.reachableMs }) as never,
+      () => ({ sinceOutageMs: () => world.sinceOutageMs }) as never,
     )
     .provide(
       "instances",
@@ -55,7 +55,7 @@
   describe("without a release", () => {
     it("does not judge soon after an outage, when entries may still return", async () => {
       const { world, leads } = await create();
-      world.reachableMs = 2000;
+      world.sinceOutageMs = 2000;
       expect(leads.judge(GROUP)).toBe("may-return");
     });
 
--- a/packages/relay/test/routing/load-choice.test.ts
+++ b/packages/relay/test/routing/load-balancing.test.ts
@@ -1,7 +1,7 @@
 import { SeededRandom } from "@zinniahill/kernel";
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
-import { drawByLoad } from "../../src/routing/load-choice.ts";
+import { selectByLoad } from "../../src/routing/load-balancing.ts";
 
 const DRAWS = 20_000;
 
@@ -14,7 +14,7 @@
   const random = new SeededRandom(7);
   const counts = loads.map(() => 0);
   for (let draw = 0; draw < DRAWS; draw++) {
-    const index = drawByLoad(loads, unseen, limit, random);
+    const index = selectByLoad(loads, unseen, limit, random);
     if (index !== undefined) {
       counts[index]!++;
     }
@@ -22,7 +22,7 @@
   return counts.map((count) => count / DRAWS);
 }
 
-describe("drawByLoad", () => {
+describe("selectByLoad", () => {
   describe("when all requests are seen", () => {
     it("gives every request to the least load, which a draw would miss", () => {
       expect(measureShares([7, 3, 9], 0)).toEqual([0, 1, 0]);
@@ -74,13 +74,13 @@
           fc.integer(),
           (loads, unseen, limit, seed) => {
             const random = new SeededRandom(seed);
-            const index = drawByLoad(loads, unseen, limit, random);
+            const index = selectByLoad(loads, unseen, limit, random);
             if (loads.every((load) => load >= limit)) {
               expect(index).toBeUndefined();
             } else if (index !== undefined) {
               expect(loads[index]).toBeLessThan(limit);
             }
-            const unlimited = drawByLoad(loads, unseen, Infinity, random);
+            const unlimited = selectByLoad(loads, unseen, Infinity, random);
             expect(unlimited === undefined).toBe(loads.length === 0);
           },
         ),
--- a/packages/relay/test/routing/many-nodes.test.ts
+++ b/packages/relay/test/routing/many-nodes.test.ts
@@ -3,9 +3,9 @@
 import type { Group } from "../../src/hosts/groups.ts";
 import type { Service as ServiceProfile } from "../../src/model/configuration.ts";
 import type { OutstandingCount } from "../../src/model/peer-message.ts";
-import { PeerWork } from "../../src/peers/peer-work.ts";
+import { PeerLoads } from "../../src/peers/peer-loads.ts";
 import { Dispatcher } from "../../src/routing/dispatcher.ts";
-import { Outstanding } from "../../src/routing/outstanding.ts";
+import { OutstandingRequests } from "../../src/routing/outstanding-requests.ts";
 import type { RelayKernel, RelayServices } from "../../src/services.ts";
 import { ENGINE, LARGE } from "../engine.ts";
 
@@ -45,9 +45,9 @@
 
 interface Node {
   readonly name: string;
-  readonly work: PeerWork;
+  readonly work: PeerLoads;
   readonly dispatcher: Dispatcher;
-  readonly outstanding: Outstanding;
+  readonly outstanding: OutstandingRequests;
   readonly readBeat: () => readonly OutstandingCount[];
 }
 
@@ -72,11 +72,11 @@
   random: SeededRandom,
   groups: readonly Group[],
 ): Promise<Node> {
-  const work = new PeerWork();
+  const work = new PeerLoads();
   let readBeat: () => readonly OutstandingCount[] = () => [];
   const mesh = {
-    work,
-    reportOutstanding: (source: typeof readBeat) => {
+    peerLoads: work,
+    setOutstandingSource: (source: typeof readBeat) => {
       readBeat = source;
     },
   };
@@ -96,7 +96,7 @@
     .provide(
       "outstanding",
       ["mesh", "placement"],
-      (services) => new Outstanding(services),
+      (services) => new OutstandingRequests(services),
     );
   await kernel.start();
   const outstanding = kernel.find("outstanding");
@@ -134,7 +134,7 @@
   const beat = (node: Node) => {
     const counts = node.readBeat();
     nodes.filter((other) => other !== node)
-      .forEach(({ work }) => work.put(node.name, counts, clock.now()));
+      .forEach(({ work }) => work.update(node.name, counts, clock.now()));
     clock.schedule(beatMs, () => beat(node));
   };
   nodes.forEach((node, index) =>
@@ -146,13 +146,13 @@
   const arrive = () => {
     const node = nodes[random.below(nodes.length)]!;
     clock.schedule(-Math.log(1 - random.fraction()) * arrivalMs, arrive);
-    const chosen = node.dispatcher.choose({
+    const chosen = node.dispatcher.select({
       service: SERVICE,
       model: LARGE.name,
       rank: 0,
       targetMs: TARGET_MS,
       excluded: new Set(),
-      isContinued: false,
+      mayHaveRun: false,
     });
     if (chosen.isErr) {
       return;
--- a/packages/relay/test/routing/outstanding.test.ts
+++ b/packages/relay/test/routing/outstanding-requests.test.ts
@@ -1,6 +1,6 @@
 import { Kernel, ManualClock } from "@zinniahill/kernel";
 import { afterEach, describe, expect, it } from "vitest";
-import { Outstanding } from "../../src/routing/outstanding.ts";
+import { OutstandingRequests } from "../../src/routing/outstanding-requests.ts";
 import type { RelayKernel, RelayServices } from "../../src/services.ts";
 
 const GROUP = { name: "large~7", epoch: 7 };
@@ -25,8 +25,8 @@
     clear: () => {},
   };
   const mesh = {
-    work: { count: () => 0, findEventAt: () => world.peerEventAt },
-    reportOutstanding: () => {},
+    peerLoads: { count: () => 0, findLastEventAt: () => world.peerEventAt },
+    setOutstandingSource: () => {},
     broadcast: () => {
       world.told++;
     },
@@ -45,13 +45,13 @@
     .provide("mesh", [], () => mesh as never)
     .provide("placement", [], () => placement as never);
   await kernel.start();
-  const outstanding = new Outstanding(kernel);
+  const outstanding = new OutstandingRequests(kernel);
   outstanding.start();
   return { world, outstanding };
 }
 
-describe("Outstanding", () => {
-  let outstanding: Outstanding | undefined;
+describe("OutstandingRequests", () => {
+  let outstanding: OutstandingRequests | undefined;
 
   afterEach(() => outstanding?.stop());
 
@@ -67,7 +67,7 @@
       const tickets = [1, 2].map(() => outstanding.begin(LEAD, GROUP, true));
       const stalled: number[] = [];
       tickets.forEach((ticket, index) => {
-        ticket.noteProgress();
+        ticket.recordEvent();
         ticket.onStall(() => stalled.push(index));
       });
       await world.clock.advance(300);
@@ -79,7 +79,7 @@
 
     it("are no less evidence when events came to another node", async () => {
       const { world, outstanding } = await start();
-      outstanding.begin(LEAD, GROUP, true).noteProgress();
+      outstanding.begin(LEAD, GROUP, true).recordEvent();
       await world.clock.advance(300);
       world.peerEventAt = world.clock.now();
       await world.clock.advance(100);
@@ -91,9 +91,9 @@
       const [first, second] = [1, 2].map(() =>
         outstanding.begin(LEAD, GROUP, true)
       );
-      second!.noteProgress();
+      second!.recordEvent();
       for (let event = 0; event < 10; event++) {
-        first!.noteProgress();
+        first!.recordEvent();
         await world.clock.advance(200);
       }
       expect(world.suspected).toBe(0);
--- a/packages/relay/test/routing/repeat-budget.test.ts
+++ b/packages/relay/test/routing/retry-budget.test.ts
@@ -1,11 +1,11 @@
 import { ManualClock } from "@zinniahill/kernel";
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
-import { RepeatBudget } from "../../src/routing/repeat-budget.ts";
+import { RetryBudget } from "../../src/routing/retry-budget.ts";
 
 const LIMITS = { ratio: 0.2, windowMs: 10_000, allowance: 40 };
 
-describe("RepeatBudget", () => {
+describe("RetryBudget", () => {
   describe("over all nodes", () => {
     it("keeps the sum of repeats in any window below the shared limit", async () => {
       await fc.assert(
@@ -16,15 +16,15 @@
             const clock = new ManualClock();
             const budgets = Array.from(
               { length: nodes },
-              () => new RepeatBudget(clock, LIMITS, () => nodes),
+              () => new RetryBudget(clock, LIMITS, () => nodes),
             );
             const taken: { at: number; first: number; repeats: number }[] = [];
             for (const count of firsts) {
               let repeats = 0;
               for (const budget of budgets) {
                 for (let i = 0; i < count; i++) {
-                  budget.noteFirst("s");
-                  repeats += Number(budget.tryTake("s"));
+                  budget.deposit("s");
+                  repeats += Number(budget.tryWithdraw("s"));
                 }
               }
               const first = count * nodes;
@@ -54,16 +54,16 @@
 
   describe("one service", () => {
     it("does not use what another one has left", () => {
-      const budget = new RepeatBudget(
+      const budget = new RetryBudget(
         new ManualClock(),
         { ...LIMITS, allowance: 0 },
         () => 1,
       );
       for (let i = 0; i < 100; i++) {
-        budget.noteFirst("busy");
+        budget.deposit("busy");
       }
-      expect(budget.tryTake("busy")).toBe(true);
-      expect(budget.tryTake("quiet")).toBe(false);
+      expect(budget.tryWithdraw("busy")).toBe(true);
+      expect(budget.tryWithdraw("quiet")).toBe(false);
     });
   });
 });
--- a/packages/relay/test/routing/route-table.test.ts
+++ b/packages/relay/test/routing/route-table.test.ts
@@ -57,13 +57,13 @@
     });
   });
 
-  describe("drawService", () => {
+  describe("pickService", () => {
     it("divides requests by weight", () => {
       const random = new SeededRandom(7);
       const route = table.findRoute("calls.example", "/a/")!;
       const drawn = Array.from(
         { length: 1000 },
-        () => table.drawService(route, random)?.name,
+        () => table.pickService(route, random)?.name,
       );
       const share = drawn.filter((name) => name === "new").length / 1000;
       expect(share).toBeGreaterThan(0.05);
