--- a/packages/relay/src/placement/controller.ts
+++ b/packages/relay/src/placement/controller.ts
@@ -114,7 +114,7 @@
   }
 
   start(): void {
-    this.#mesh.on("suspect", ({ group, epoch, instance }) => {
+    this.#mesh.onMessage("suspect", ({ group, epoch, instance }) => {
       this.#groups.suspect(group, epoch, `peer about ${instance}`);
       this.checkGroup(group, epoch);
     });
@@ -234,7 +234,7 @@
         (signal) => this.#endings.drain(group, signal),
       );
     } else if (
-      !isWhole && this.#feeds.reachableMs("instances") >= RELISTING_MS
+      !isWhole && this.#feeds.sinceOutageMs("instances") >= RELISTING_MS
     ) {
       this.checkGroup(group.name, group.epoch);
     }
