--- a/packages/relay/src/outside.ts
+++ b/packages/relay/src/adapter.ts
@@ -8,7 +8,7 @@
 import type { Verdict } from "@zinniahill/schema";
 import type { Result } from "true-myth";
 import type { Configuration } from "./model/configuration.ts";
-import type { Instance, Report } from "./model/instance.ts";
+import type { EngineReport, Instance } from "./model/instance.ts";
 import type { Order, OrderReply } from "./model/order.ts";
 import type { KeyRecord, NodeEntry } from "./model/peer-message.ts";
 
@@ -37,7 +37,7 @@
 }
 
 /** The store's topics of keys and values. */
-export interface Topics {
+export interface FeedStore {
   /** Reads the newest record of each key. */
   readNewest(
     feed: FeedName,
@@ -51,27 +51,27 @@
     signal: AbortSignal,
   ): Promise<Result<Batch, Fault>>;
   /** Announces this node. */
-  writeNode(
+  announceNode(
     entry: NodeEntry,
     signal: AbortSignal,
   ): Promise<Result<void, Fault>>;
 }
 
 /** What a member of the placement group was told. */
-export interface Standing {
+export interface ElectionStatus {
   /** Rises with each change of the members. */
   readonly generation: number;
   readonly isHolder: boolean;
 }
 
 /** Membership at the store, of which one member holds placement. */
-export interface Seat {
+export interface HolderElection {
   renew(
     member: string,
     generation: number,
     termMs: number,
     signal: AbortSignal,
-  ): Promise<Result<Standing, Fault>>;
+  ): Promise<Result<ElectionStatus, Fault>>;
   leave(member: string, signal: AbortSignal): Promise<Result<void, Fault>>;
 }
 
@@ -83,13 +83,13 @@
 }
 
 /** The engines' control interface. */
-export interface Engines {
-  report(
+export interface EngineControl {
+  requestReport(
     target: Pick<Instance, "id" | "address">,
     timeoutMs: number,
     signal: AbortSignal,
-  ): Promise<Result<Report, Fault>>;
-  order(
+  ): Promise<Result<EngineReport, Fault>>;
+  sendOrder(
     target: Pick<Instance, "id" | "address">,
     order: Order,
     condition: OrderCondition,
@@ -106,23 +106,23 @@
 }
 
 /** What a caller's request says of itself. */
-export interface RequestFacts {
+export interface RequestMetadata {
   readonly attemptId: string | undefined;
   readonly host: string;
   /** Path with query, as sent. */
   readonly target: string;
-  readonly key: string | undefined;
+  readonly apiKey: string | undefined;
   readonly deadlineMs: number | undefined;
   readonly model: string | undefined;
   readonly promptTokens: number;
   readonly outputTokens: number;
-  readonly outputHint: number | undefined;
+  readonly outputTokensHint: number | undefined;
   /** The last event that the caller has of an earlier stream. */
   readonly lastEventId: string | undefined;
 }
 
 /** What the relay adds to a request for an upstream. */
-export interface ForwardFacts {
+export interface ForwardMetadata {
   readonly deadlineMs: number;
   readonly instance: string;
   readonly account: string | undefined;
@@ -132,12 +132,12 @@
 }
 
 /** What an upstream's response head says. */
-export interface ReplyFacts {
+export interface ResponseMetadata {
   /** Whether the upstream says that it did not run the request. */
-  readonly isNotRun: boolean;
+  readonly hasNotRun: boolean;
   readonly attemptId: string | undefined;
   /** Whether the response carries the upstream's signature. */
-  readonly isSealed: boolean;
+  readonly isSigned: boolean;
   /** Whether the body was encoded on the way. */
   readonly isEncoded: boolean;
   /** Instance that the upstream holds responsible for a refusal. */
@@ -147,9 +147,12 @@
 }
 
 /** The form of callers' requests and upstreams' replies. */
-export interface RequestFormat {
-  readRequest(request: IncomingMessage): RequestFacts;
+export interface HeaderCodec {
+  parseRequest(request: IncomingMessage): RequestMetadata;
   /** Headers for the upstream, as names and values in turn. */
-  writeForward(request: IncomingMessage, facts: ForwardFacts): string[];
-  readReply(headers: ReadonlyMap<string, string>): ReplyFacts;
+  createForwardHeaders(
+    request: IncomingMessage,
+    facts: ForwardMetadata,
+  ): string[];
+  parseResponse(headers: ReadonlyMap<string, string>): ResponseMetadata;
 }
--- a/packages/relay/src/entry/intake.ts
+++ b/packages/relay/src/entry/capacity-monitor.ts
@@ -33,7 +33,7 @@
  * Lowers this node's share of the callers while its event loop runs late, and
  * raises it again by steps.
  */
-export class Intake implements Service {
+export class CapacityMonitor implements Service {
   #clock: Clock;
   #logger: Logger;
   #coreShare: number;
--- a/packages/relay/src/entry/lookup.ts
+++ b/packages/relay/src/entry/lookup.ts
@@ -8,10 +8,10 @@
 import type { NodeEntry } from "../model/peer-message.ts";
 import type { Mesh } from "../peers/mesh.ts";
 import type { RelayKernel } from "../services.ts";
-import type { Intake } from "./intake.ts";
+import type { CapacityMonitor } from "./capacity-monitor.ts";
 
 /** Addresses for a caller and how long they may be kept. */
-export interface LookupAnswer {
+export interface LookupResult {
   readonly addresses: readonly string[];
   readonly validMs: number;
 }
@@ -34,7 +34,7 @@
   #random: Random;
   #mesh: Mesh;
   #lifecycle: Lifecycle;
-  #intake: Intake;
+  #intake: CapacityMonitor;
   #validMs: number;
 
   constructor(kernel: RelayKernel) {
@@ -50,7 +50,7 @@
    * choose among the addresses evenly, so a node that can take less is left
    * out of some answers.
    */
-  find(dataCentre: string | undefined): LookupAnswer {
+  find(dataCentre: string | undefined): LookupResult {
     const isNear = (entry: NodeEntry) => entry.dataCentre === dataCentre;
     const addresses = this.#draw(this.#listServing())
       .sort((a, b) => Number(isNear(b)) - Number(isNear(a)))
--- a/packages/relay/src/feeds/feeds.ts
+++ b/packages/relay/src/feeds/feeds.ts
@@ -12,7 +12,7 @@
 } from "@zinniahill/kernel";
 import type { Result } from "true-myth";
 import type { KeyRecord } from "../model/peer-message.ts";
-import type { Batch, FeedName, Topics } from "../outside.ts";
+import type { Batch, FeedName, FeedStore } from "../adapter.ts";
 import type { RelayKernel } from "../services.ts";
 import { KeyTable } from "./key-table.ts";
 
@@ -98,7 +98,7 @@
   #clock: Clock;
   #logger: Logger;
   #random: Random;
-  #topics: Topics;
+  #topics: FeedStore;
   #tasks: TaskGroup;
   #feeds: Record<FeedName, Progress>;
   #isHurried = () => false;
--- a/packages/relay/src/planned-stop.ts
+++ b/packages/relay/src/graceful-shutdown.ts
@@ -17,19 +17,19 @@
  * Serves on while callers may keep an answer that names the node, then refuses
  * what still comes and lets requests in flight end.
  */
-export async function stopAsPlanned(node: RelayKernel): Promise<void> {
+export async function shutDownGracefully(node: RelayKernel): Promise<void> {
   const clock = node.find("clock");
   const logger = node.find("logger");
   const lifecycle = node.find("lifecycle");
   const front = node.find("front");
   const { limits } = node.find("settings");
-  const bound = clock.now() + limits.stopMs - KILL_MARGIN_MS;
+  const bound = clock.now() + limits.gracePeriodMs - KILL_MARGIN_MS;
   lifecycle.drain();
   logger.info("node_draining", { in_flight: front.inFlight });
   await clock.sleep(
     Math.min(
       limits.lookupValidityMs * LOOKUP_VALIDITIES + LAST_CALLERS_MS,
-      limits.stopMs / 2,
+      limits.gracePeriodMs / 2,
     ),
   );
   lifecycle.close();
--- a/packages/relay/src/hosts/groups.ts
+++ b/packages/relay/src/hosts/groups.ts
@@ -28,7 +28,7 @@
 const SUSPICION_MS = 1500;
 
 /** Where an instance is reached, whether it is listed or not. */
-export type Target = Pick<Instance, "id" | "address">;
+export type InstanceEndpoint = Pick<Instance, "id" | "address">;
 
 /**
  * A group's name says its model, also while members are still loading, and its
@@ -37,18 +37,18 @@
 export function createGroupName(
   model: string,
   epoch: number,
-  { id, address }: Target,
+  { id, address }: InstanceEndpoint,
 ): string {
   return [model, epoch, id, address].join(NAME_SEPARATOR);
 }
 
 /** The model that a group's name stands for. */
-export function readGroupModel(name: string): string {
+export function parseGroupModel(name: string): string {
   return name.split(NAME_SEPARATOR)[0]!;
 }
 
 /** The lead that a group's name says; undefined in a name of another form. */
-export function readGroupLead(name: string): Target | undefined {
+export function parseGroupLead(name: string): InstanceEndpoint | undefined {
   const [, , id, address] = name.split(NAME_SEPARATOR);
   return id === undefined || address === undefined
     ? undefined
@@ -105,7 +105,7 @@
   }
 
   /** Drops a suspicion, as the group has shown progress. */
-  clear(name: string, epoch: number): void {
+  clearSuspicion(name: string, epoch: number): void {
     if (this.#suspectedUntil.delete(createGroupKey(name, epoch))) {
       this.#logger.info("group_suspicion_cleared", { group: name, epoch });
     }
@@ -181,7 +181,7 @@
     name: group,
     epoch,
     service: members[0]!.service,
-    model: readGroupModel(group),
+    model: parseGroupModel(group),
     members,
     lead,
     state: lead?.engine?.membership?.state,
--- a/packages/relay/src/hosts/instances.ts
+++ b/packages/relay/src/hosts/instances.ts
@@ -12,7 +12,7 @@
 } from "@zinniahill/kernel";
 import type { Instance } from "../model/instance.ts";
 import type { KeyRecord } from "../model/peer-message.ts";
-import type { RecordDecoder } from "../outside.ts";
+import type { RecordDecoder } from "../adapter.ts";
 import type { RelayKernel } from "../services.ts";
 
 /** An instance that the store lists no longer. */
@@ -28,7 +28,7 @@
 const DEPARTED_MS = 30_000;
 
 /** Called after each read with the records that said anything new. */
-export type NewsListener = (news: readonly KeyRecord[]) => void;
+export type UpdateListener = (news: readonly KeyRecord[]) => void;
 
 /** Knows every instance by id and by service. */
 export class Instances implements Service {
@@ -39,9 +39,9 @@
   #decoder: RecordDecoder;
   #instances = new Map<string, Instance>();
   #departed = new Map<string, Departed>();
-  #newsListeners = new Set<NewsListener>();
+  #newsListeners = new Set<UpdateListener>();
   #version = 0;
-  #grownAt = -Infinity;
+  #lastAddedAt = -Infinity;
 
   constructor(kernel: RelayKernel) {
     this.#clock = kernel.find("clock");
@@ -59,12 +59,12 @@
   }
 
   /** When an instance was listed that was not known before. */
-  get grownAt(): number {
-    return this.#grownAt;
+  get lastAddedAt(): number {
+    return this.#lastAddedAt;
   }
 
   /** Calls a listener after each read from now on. */
-  onNews(listener: NewsListener): void {
+  onUpdate(listener: UpdateListener): void {
     this.#newsListeners.add(listener);
   }
 
@@ -74,7 +74,7 @@
   }
 
   /** Instances of a service that are listed and not leaving. */
-  listReady(service: string): Instance[] {
+  listAvailable(service: string): Instance[] {
     return this.list().filter((instance) =>
       instance.service === service && !instance.isDraining
     );
@@ -130,7 +130,7 @@
     this.#instances.set(instance.id, instance);
     this.#departed.delete(instance.id);
     if (known === undefined) {
-      this.#grownAt = this.#clock.now();
+      this.#lastAddedAt = this.#clock.now();
       this.#logger.info("instance_listed", {
         instance: instance.id,
         service: instance.service,
--- a/packages/relay/src/index.ts
+++ b/packages/relay/src/index.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-export { type LookupAnswer } from "./entry/lookup.ts";
+export { type LookupResult } from "./entry/lookup.ts";
 export {
   Account,
   CallerLimits,
@@ -13,35 +13,35 @@
   ModelProfile,
   RequestKind,
   Route,
-  Service,
+  ServiceProfile,
 } from "./model/configuration.ts";
 export {
+  EngineReport,
   EngineState,
   Instance,
   Membership,
   MemberState,
-  Report,
 } from "./model/instance.ts";
 export { Order, OrderReply } from "./model/order.ts";
 export { KeyRecord, NodeEntry } from "./model/peer-message.ts";
 export {
   type Batch,
-  type Engines,
+  type ElectionStatus,
+  type EngineControl,
   type Fault,
   type FeedName,
-  type ForwardFacts,
+  type FeedStore,
+  type ForwardMetadata,
+  type HeaderCodec,
+  type HolderElection,
   type OrderCondition,
   type RecordDecoder,
-  type ReplyFacts,
-  type RequestFacts,
-  type RequestFormat,
-  type Seat,
+  type RequestMetadata,
+  type ResponseMetadata,
   type Snapshot,
-  type Standing,
-  type Topics,
-} from "./outside.ts";
-export { stopAsPlanned } from "./planned-stop.ts";
-export { createRelayNode, type OutsideFactory } from "./relay-node.ts";
+} from "./adapter.ts";
+export { shutDownGracefully } from "./graceful-shutdown.ts";
+export { type AdapterFactories, createRelayNode } from "./relay-node.ts";
 export { RelaySettings } from "./relay-settings.ts";
 export { filterHeaders } from "./serving/headers.ts";
 export { type RelayKernel } from "./services.ts";
--- a/packages/relay/src/model/configuration.ts
+++ b/packages/relay/src/model/configuration.ts
@@ -45,15 +45,15 @@
 /** A model, the hosts that one replica needs, and how it is loaded. */
 export const ModelProfile = z.object({
   name: z.string(),
-  hosts: z.number(),
+  hostCount: z.number(),
   /** Share of the work at the start. */
-  share: z.number(),
+  initialShare: z.number(),
   /** Factor on all times of the engine. */
-  pace: z.number(),
+  timeFactor: z.number(),
   /** Time to load the weights from the weight store. */
   loadMs: z.number(),
   /** Time to load the weights that are staged on the host. */
-  warmMs: z.number(),
+  stagedLoadMs: z.number(),
 });
 /** A model, the hosts that one replica needs, and how it is loaded. */
 export type ModelProfile = z.infer<typeof ModelProfile>;
@@ -71,7 +71,7 @@
   pairMsPerMillion: z.number(),
   /** Most prompt tokens that one step reads. */
   chunkTokens: z.number(),
-  loadsPerSecond: z.number(),
+  maxLoadsPerSecond: z.number(),
   concurrentLoads: z.number(),
   /** Time from the order to open until the group serves. */
   openMs: z.number(),
@@ -81,13 +81,13 @@
 export type EngineProfile = z.infer<typeof EngineProfile>;
 
 /** A service that requests are relayed to. */
-export const Service = z.object({
+export const ServiceProfile = z.object({
   name: z.string(),
   maxConnections: z.number(),
   engine: EngineProfile.optional(),
 });
 /** A service that requests are relayed to. */
-export type Service = z.infer<typeof Service>;
+export type ServiceProfile = z.infer<typeof ServiceProfile>;
 
 /** A client account and its keys. */
 export const Account = z.object({
@@ -101,8 +101,8 @@
 
 /** What a caller may send, and how long it may take. */
 export const CallerLimits = z.object({
-  headerBytes: z.number(),
-  bodyBytes: z.number(),
+  maxHeaderBytes: z.number(),
+  maxBodyBytes: z.number(),
   headerTimeoutMs: z.number(),
   idleTimeoutMs: z.number(),
 });
@@ -113,7 +113,7 @@
 export const Configuration = z.object({
   version: z.number(),
   routes: z.array(Route),
-  services: z.array(Service),
+  services: z.array(ServiceProfile),
   /** Absent when no key is needed. */
   accounts: z.array(Account).optional(),
   limits: CallerLimits,
--- a/packages/relay/src/model/instance.ts
+++ b/packages/relay/src/model/instance.ts
@@ -55,7 +55,7 @@
 export type Instance = z.infer<typeof Instance>;
 
 /** What an instance says when it is asked. */
-export const Report = z.object({
+export const EngineReport = z.object({
   bornAt: z.number().optional(),
   engine: EngineState,
   /** Orders accepted since the start. */
@@ -64,7 +64,7 @@
   running: z.number(),
   waiting: z.number(),
   /** Over 1 when the engine is slower than its profile. */
-  pace: z.number(),
+  timeFactor: z.number(),
 });
 /** What an instance says when it is asked. */
-export type Report = z.infer<typeof Report>;
+export type EngineReport = z.infer<typeof EngineReport>;
--- a/packages/relay/src/model/peer-message.ts
+++ b/packages/relay/src/model/peer-message.ts
@@ -52,9 +52,9 @@
 });
 
 /** What came of one node's attempts to make a lead leave its group. */
-export const LeadAttempt = z.enum(["left", "present", "unreachable"]);
+export const LeadReleaseOutcome = z.enum(["left", "present", "unreachable"]);
 /** What came of one node's attempts to make a lead leave its group. */
-export type LeadAttempt = z.infer<typeof LeadAttempt>;
+export type LeadReleaseOutcome = z.infer<typeof LeadReleaseOutcome>;
 
 /** A message between two nodes. */
 export const PeerMessage = z.discriminatedUnion("kind", [
@@ -103,7 +103,7 @@
   }),
   LeadToRelease.extend({
     kind: z.literal("released"),
-    outcome: LeadAttempt,
+    outcome: LeadReleaseOutcome,
   }),
   z.object({
     kind: z.literal("suspect"),
--- a/packages/relay/src/peers/instance-news.ts
+++ b/packages/relay/src/peers/instance-news.ts
@@ -35,7 +35,7 @@
     this.#mesh = kernel.find("mesh");
     this.#holder = kernel.find("holder");
     const instances: Instances = kernel.find("instances");
-    instances.onNews((news) => this.#tell(news));
+    instances.onUpdate((news) => this.#tell(news));
     this.#mesh.on("news", (message) => this.#take(message));
   }
 
--- a/packages/relay/src/peers/mesh.ts
+++ b/packages/relay/src/peers/mesh.ts
@@ -13,14 +13,14 @@
   TaskGroup,
   withDeadline,
 } from "@zinniahill/kernel";
-import type { Intake } from "../entry/intake.ts";
+import type { CapacityMonitor } from "../entry/capacity-monitor.ts";
 import type { Lifecycle } from "../lifecycle.ts";
 import type {
   MessageOf,
   NodeEntry,
   PeerMessage,
 } from "../model/peer-message.ts";
-import type { RecordDecoder, Topics } from "../outside.ts";
+import type { FeedStore, RecordDecoder } from "../adapter.ts";
 import type { RelayKernel } from "../services.ts";
 import { NodeDirectory } from "./directory.ts";
 import { FeedExchange } from "./feed-exchange.ts";
@@ -71,11 +71,11 @@
   #logger: Logger;
   #random: Random;
   #transport: PeerTransport;
-  #topics: Topics;
+  #topics: FeedStore;
   #decoder: RecordDecoder;
   #exchange: FeedExchange;
   #lifecycle: Lifecycle;
-  #intake: Intake;
+  #intake: CapacityMonitor;
   #own: NodeEntry;
   #directory: NodeDirectory;
   #tasks: TaskGroup;
@@ -212,7 +212,7 @@
 
   async #announce(signal: AbortSignal): Promise<void> {
     for (;;) {
-      const written = await this.#topics.writeNode(this.#own, signal);
+      const written = await this.#topics.announceNode(this.#own, signal);
       if (written.isOk || signal.aborted) {
         return;
       }
--- a/packages/relay/src/placement/controller.ts
+++ b/packages/relay/src/placement/controller.ts
@@ -14,10 +14,7 @@
 import { createGroupName, type Group, Groups } from "../hosts/groups.ts";
 import type { Feeds } from "../feeds/feeds.ts";
 import type { Instances } from "../hosts/instances.ts";
-import type {
-  EngineProfile,
-  Service as ServiceProfile,
-} from "../model/configuration.ts";
+import type { EngineProfile, ServiceProfile } from "../model/configuration.ts";
 import type { Mesh } from "../peers/mesh.ts";
 import type { RelayKernel } from "../services.ts";
 import type { Demand } from "./demand.ts";
@@ -198,7 +195,7 @@
       ) {
         continue;
       }
-      const size = findModel(service, group.model)?.hosts ?? 0;
+      const size = findModel(service, group.model)?.hostCount ?? 0;
       const isWhole = group.members.length === size &&
         group.members.every((member) => !this.#health.isMissing(member));
       if (group.state === "open" || group.state === "closing") {
@@ -310,7 +307,7 @@
         groups.filter(({ name }) => this.#busyGroups.has(name))
           .map(({ members }) => readDomain(members[0])),
       ),
-      isGrowing: this.#clock.now() - this.#instances.grownAt < GROWTH_MS,
+      isGrowing: this.#clock.now() - this.#instances.lastAddedAt < GROWTH_MS,
     });
   }
 
--- a/packages/relay/src/placement/demand.ts
+++ b/packages/relay/src/placement/demand.ts
@@ -52,12 +52,13 @@
    */
   readShares(engine: EngineProfile): ReadonlyMap<string, number> {
     const priorTotal = engine.models.reduce(
-      (sum, { share, hosts }) => sum + share / hosts,
+      (sum, { initialShare, hostCount }) => sum + initialShare / hostCount,
       0,
     );
-    const work = engine.models.map(({ name, share, hosts }) => ({
+    const work = engine.models.map(({ name, initialShare, hostCount }) => ({
       name,
-      ms: this.#decay(name).ms + share / hosts / priorTotal * PRIOR_WORK_MS,
+      ms: this.#decay(name).ms +
+        initialShare / hostCount / priorTotal * PRIOR_WORK_MS,
     }));
     const total = work.reduce((sum, { ms }) => sum + ms, 0);
     return new Map(work.map(({ name, ms }) => [name, ms / total]));
@@ -83,5 +84,5 @@
 ): number {
   const stepMs = engine.stepMs / engine.slots + engine.stepMsPerRequest;
   const prefillMs = promptTokens / engine.prefillTokensPerMs;
-  return model.pace * (prefillMs + outputTokens * stepMs);
+  return model.timeFactor * (prefillMs + outputTokens * stepMs);
 }
--- a/packages/relay/src/placement/formation.ts
+++ b/packages/relay/src/placement/formation.ts
@@ -159,7 +159,7 @@
       );
       const limitMs = isLoading || group.stagingHosts.has(id)
         ? model.loadMs * LOAD_TIMEOUT_FACTOR
-        : model.warmMs + JOIN_TIMEOUT_MS;
+        : model.stagedLoadMs + JOIN_TIMEOUT_MS;
       await this.#waitFor(limitMs, () => this.#isReady(group, id), signal);
     } finally {
       release();
--- a/packages/relay/src/placement/free-hosts.ts
+++ b/packages/relay/src/placement/free-hosts.ts
@@ -32,7 +32,7 @@
     const taken = new Set(
       standing.flatMap(({ members }) => members.map(({ id }) => id)),
     );
-    return this.#instances.listReady(service)
+    return this.#instances.listAvailable(service)
       .filter((instance) =>
         instance.engine !== undefined && !taken.has(instance.id) &&
         !busyHosts.has(instance.id) && !this.#health.isMissing(instance)
--- a/packages/relay/src/placement/group-checks.ts
+++ b/packages/relay/src/placement/group-checks.ts
@@ -121,7 +121,7 @@
   #findSize({ service, model }: Group): number | undefined {
     const { engine } = this.#configuration.current?.services
       .find(({ name }) => name === service) ?? {};
-    return engine?.models.find(({ name }) => name === model)?.hosts;
+    return engine?.models.find(({ name }) => name === model)?.hostCount;
   }
 
   /** Spares of the group's domain that can join without a load. */
--- a/packages/relay/src/placement/holder.ts
+++ b/packages/relay/src/placement/holder.ts
@@ -11,10 +11,10 @@
   TaskGroup,
 } from "@zinniahill/kernel";
 import { createMachine, interpret, state, transition } from "robot3";
-import type { Intake } from "../entry/intake.ts";
+import type { CapacityMonitor } from "../entry/capacity-monitor.ts";
 import type { Feeds } from "../feeds/feeds.ts";
 import type { Lifecycle } from "../lifecycle.ts";
-import type { Seat, Standing } from "../outside.ts";
+import type { ElectionStatus, HolderElection } from "../adapter.ts";
 import type { Mesh } from "../peers/mesh.ts";
 import type { Peer } from "../peers/peer.ts";
 import type { RelayKernel } from "../services.ts";
@@ -62,11 +62,11 @@
   #random: Random;
   #logger: Logger;
   #feeds: Feeds;
-  #seat: Seat;
+  #seat: HolderElection;
   #member: string;
   #lifecycle: Lifecycle;
   #mesh: Mesh;
-  #intake: Intake;
+  #intake: CapacityMonitor;
   #isMember = false;
   /** Whether this node may become the holder, as far as the store answers. */
   #seeks = false;
@@ -250,7 +250,7 @@
   }
 
   /** The term counts from before the renewal was sent. */
-  #apply({ generation, isHolder }: Standing, began: number): void {
+  #apply({ generation, isHolder }: ElectionStatus, began: number): void {
     if (generation !== this.#generation) {
       this.#logger.info("membership_changed", {
         generation,
--- a/packages/relay/src/placement/host-health.ts
+++ b/packages/relay/src/placement/host-health.ts
@@ -5,7 +5,7 @@
  */
 import type { Clock, Logger } from "@zinniahill/kernel";
 import type { Instances } from "../hosts/instances.ts";
-import type { Instance, Report } from "../model/instance.ts";
+import type { EngineReport, Instance } from "../model/instance.ts";
 import type { RelayKernel } from "../services.ts";
 import type { Orders } from "./orders.ts";
 
@@ -35,7 +35,7 @@
   async ask(
     instance: Instance,
     signal: AbortSignal,
-  ): Promise<Report | undefined> {
+  ): Promise<EngineReport | undefined> {
     const report = await this.#orders.ask(instance, signal);
     if (report === undefined) {
       this.#noteMissing(instance);
@@ -93,8 +93,8 @@
 }
 
 /** Whether an engine is much slower than its profile. */
-export function isSlowReport({ pace }: Report): boolean {
-  return pace >= SLOW_PACE;
+export function isSlowReport({ timeFactor }: EngineReport): boolean {
+  return timeFactor >= SLOW_PACE;
 }
 
 function createProcessKey({ id, bornAt }: Instance): string {
--- a/packages/relay/src/placement/lead-release.ts
+++ b/packages/relay/src/placement/lead-release.ts
@@ -15,10 +15,10 @@
   TaskGroup,
   withDeadline,
 } from "@zinniahill/kernel";
-import { createGroupKey, type Target } from "../hosts/groups.ts";
+import { createGroupKey, type InstanceEndpoint } from "../hosts/groups.ts";
 import type { OrderReply } from "../model/order.ts";
-import type { LeadAttempt, MessageOf } from "../model/peer-message.ts";
-import type { Engines } from "../outside.ts";
+import type { LeadReleaseOutcome, MessageOf } from "../model/peer-message.ts";
+import type { EngineControl } from "../adapter.ts";
 import type { Mesh } from "../peers/mesh.ts";
 import type { RelayKernel } from "../services.ts";
 import { isMemberOf } from "./orders.ts";
@@ -38,14 +38,14 @@
 interface Release {
   /** Names of the nodes that try. */
   readonly nodes: ReadonlySet<string>;
-  readonly attempts: Map<string, LeadAttempt>;
+  readonly attempts: Map<string, LeadReleaseOutcome>;
 }
 
 /** Sends leads away, for itself and for the node that holds placement. */
 export class LeadRelease implements Service {
   #clock: Clock;
   #logger: Logger;
-  #engines: Engines;
+  #engines: EngineControl;
   #mesh: Mesh;
   #tasks: TaskGroup;
   #releases = new Map<string, Release>();
@@ -82,7 +82,7 @@
 
   /** Asks every node to make the lead leave; the best outcome counts. */
   async release(
-    { id, address }: Target,
+    { id, address }: InstanceEndpoint,
     group: string,
     epoch: number,
     fence: number,
@@ -138,7 +138,7 @@
     }));
   }
 
-  #note(key: string, node: string, outcome: LeadAttempt): void {
+  #note(key: string, node: string, outcome: LeadReleaseOutcome): void {
     this.#releases.get(key)?.attempts.set(node, outcome);
     this.#changed.notify();
   }
@@ -150,11 +150,11 @@
   async #try(
     { lead, address, group, epoch, fence }: MessageOf<"release">,
     signal: AbortSignal,
-  ): Promise<LeadAttempt> {
+  ): Promise<LeadReleaseOutcome> {
     const target = { id: lead, address };
-    let outcome: LeadAttempt = "unreachable";
+    let outcome: LeadReleaseOutcome = "unreachable";
     for (let attempt = 1; attempt <= ATTEMPTS; attempt++) {
-      const reply = await this.#engines.order(
+      const reply = await this.#engines.sendOrder(
         target,
         { kind: "leave", group, epoch },
         { fence },
@@ -165,7 +165,7 @@
       if (reply.isOk && HAS_LEFT[reply.value]) {
         return "left";
       }
-      const report = await this.#engines.report(
+      const report = await this.#engines.requestReport(
         target,
         ATTEMPT_TIMEOUT_MS,
         signal,
--- a/packages/relay/src/placement/loads.ts
+++ b/packages/relay/src/placement/loads.ts
@@ -115,11 +115,11 @@
     };
   }
 
-  #computePauseMs({ loadsPerSecond }: EngineProfile): number {
+  #computePauseMs({ maxLoadsPerSecond }: EngineProfile): number {
     if (!this.#isRateLimited()) {
       return 0;
     }
-    const intervalMs = MS_PER_SECOND / (loadsPerSecond * RATE_SHARE);
+    const intervalMs = MS_PER_SECOND / (maxLoadsPerSecond * RATE_SHARE);
     return this.#lastBegunAt + intervalMs - this.#clock.now();
   }
 }
--- a/packages/relay/src/placement/orders.ts
+++ b/packages/relay/src/placement/orders.ts
@@ -5,9 +5,9 @@
  */
 import type { Clock, Logger } from "@zinniahill/kernel";
 import type { Instances } from "../hosts/instances.ts";
-import type { Instance, Membership, Report } from "../model/instance.ts";
+import type { EngineReport, Instance, Membership } from "../model/instance.ts";
 import type { Order, OrderReply } from "../model/order.ts";
-import type { Engines } from "../outside.ts";
+import type { EngineControl } from "../adapter.ts";
 import type { RelayMetrics } from "../relay-metrics.ts";
 import type { RelayKernel } from "../services.ts";
 import type { Holder } from "./holder.ts";
@@ -26,7 +26,7 @@
 export class Orders {
   #clock: Clock;
   #logger: Logger;
-  #engines: Engines;
+  #engines: EngineControl;
   #holder: Holder;
   #instances: Instances;
   #metrics: RelayMetrics;
@@ -44,9 +44,9 @@
   async ask(
     instance: Instance,
     signal: AbortSignal,
-  ): Promise<Report | undefined> {
+  ): Promise<EngineReport | undefined> {
     for (let attempt = 1; attempt <= ATTEMPTS - 1; attempt++) {
-      const report = await this.#engines.report(
+      const report = await this.#engines.requestReport(
         instance,
         REPLY_TIMEOUT_MS,
         signal,
@@ -72,7 +72,7 @@
   async give(
     id: string,
     order: Order,
-    isDone: (report: Report) => boolean,
+    isDone: (report: EngineReport) => boolean,
     signal: AbortSignal,
   ): Promise<void> {
     let orderCount: number | undefined;
@@ -116,7 +116,7 @@
       throw new PlacementError("this node no longer holds placement");
     }
     const { fence } = this.#holder;
-    const reply = await this.#engines.order(
+    const reply = await this.#engines.sendOrder(
       this.#find(id),
       order,
       { fence, orderCount },
@@ -125,7 +125,7 @@
     );
     signal.throwIfAborted();
     const outcome = reply.isOk ? reply.value : "no-reply";
-    this.#metrics.noteOrder(order.kind, outcome);
+    this.#metrics.recordOrder(order.kind, outcome);
     this.#logger.info("order_given", {
       instance: id,
       order: order.kind,
@@ -141,7 +141,10 @@
 }
 
 /** Whether a report comes from the process that the store lists. */
-export function isSameProcess(instance: Instance, report: Report): boolean {
+export function isSameProcess(
+  instance: Instance,
+  report: EngineReport,
+): boolean {
   return report.bornAt === undefined || report.bornAt === instance.bornAt;
 }
 
--- a/packages/relay/src/placement/plan.ts
+++ b/packages/relay/src/placement/plan.ts
@@ -127,7 +127,7 @@
     .sort((a, b) => b.need - a.need);
   const isUnsettled = basis.unsettledDomains.has(hosts[0]?.fabricDomain ?? "");
   const formable = options.filter(({ model, formation }) =>
-    formation.members.length === model.hosts &&
+    formation.members.length === model.hostCount &&
     (!isUnsettled || formation.loads.size === 0) &&
     (isRepair(model, formation, hosts) ||
       formation.spares >= MIN_SPARES_OF_NEW)
@@ -148,7 +148,7 @@
 
 /** Whether most members were in a group of the model and keep its weights. */
 function isRepair(
-  { name, hosts: size }: ModelProfile,
+  { name, hostCount: size }: ModelProfile,
   { members, loads }: Candidate,
   hosts: readonly FreeHost[],
 ): boolean {
@@ -166,7 +166,7 @@
   const warm = hosts.filter((host) =>
     rankHost(host, model.name) <= HostRank.staging
   );
-  return warm.length >= model.hosts - 1;
+  return warm.length >= model.hostCount - 1;
 }
 
 /** Work for each group of a model, with one more group. */
@@ -191,7 +191,7 @@
       Number(a.isSlow) - Number(b.isSlow) ||
       rankHost(a, model.name) - rankHost(b, model.name)
     )
-    .slice(0, model.hosts);
+    .slice(0, model.hostCount);
   const loads = chosen.filter((host) =>
     rankHost(host, model.name) > HostRank.staging
   );
@@ -247,7 +247,7 @@
 ): Staging[] {
   const wanted = engine.models
     .filter(({ name }) => domainModels.includes(name))
-    .sort((a, b) => b.hosts - a.hosts)
+    .sort((a, b) => b.hostCount - a.hostCount)
     .map(({ name }) => name);
   const unused = new Set(spares);
   const stagings: Staging[] = [];
--- a/packages/relay/src/placement/unlisted-leads.ts
+++ b/packages/relay/src/placement/unlisted-leads.ts
@@ -5,7 +5,7 @@
  */
 import type { Clock } from "@zinniahill/kernel";
 import type { Feeds } from "../feeds/feeds.ts";
-import { type Group, readGroupLead } from "../hosts/groups.ts";
+import { type Group, parseGroupLead } from "../hosts/groups.ts";
 import type { Instances } from "../hosts/instances.ts";
 import type { RelayKernel } from "../services.ts";
 import type { Holder } from "./holder.ts";
@@ -46,7 +46,7 @@
 
   /** Judges a group that has no listed lead. */
   judge({ name }: Group): LeadStanding {
-    const lead = readGroupLead(name);
+    const lead = parseGroupLead(name);
     if (this.#feeds.reachableMs("instances") < RETURN_MS) {
       return "may-return";
     }
@@ -58,7 +58,7 @@
 
   /** Makes the lead leave, as it may only be cut off from the store. */
   async release({ name, epoch }: Group, signal: AbortSignal): Promise<void> {
-    const lead = readGroupLead(name);
+    const lead = parseGroupLead(name);
     if (lead === undefined) {
       return;
     }
--- a/packages/relay/src/relay-metrics.ts
+++ b/packages/relay/src/relay-metrics.ts
@@ -8,7 +8,7 @@
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import type { Route } from "./model/configuration.ts";
 import type { Order, OrderReply } from "./model/order.ts";
-import type { Answer } from "./serving/answers.ts";
+import type { DeliveredResponse } from "./serving/request-handlers.ts";
 
 const MS_PER_SECOND = 1000;
 const LATENCY_BUCKETS_S = [
@@ -79,14 +79,15 @@
   });
 
   /** Counts an order to an engine. */
-  noteOrder(order: Order["kind"], outcome: OrderReply | "no-reply"): void {
+  recordOrder(order: Order["kind"], outcome: OrderReply | "no-reply"): void {
     this.#orders.inc({ order, outcome });
   }
 
   /** Counts an answer and its times. */
-  noteAnswer(
+  recordResponse(
     { kind, rank }: Route,
-    { status, firstByteAt, longestGapMs, load, upstreamLoad }: Answer,
+    { status, firstByteAt, longestGapMs, load, upstreamLoad }:
+      DeliveredResponse,
     receivedAt: number,
     endedAt: number,
   ): void {
@@ -106,7 +107,7 @@
   }
 
   /** Counts a refusal. */
-  noteRefusal({ code, verdict }: Refusal): void {
+  recordRefusal({ code, verdict }: Refusal): void {
     this.#refusals.inc({ code, verdict });
   }
 
--- a/packages/relay/src/relay-node.ts
+++ b/packages/relay/src/relay-node.ts
@@ -10,7 +10,7 @@
   SystemClock,
   SystemRandom,
 } from "@zinniahill/kernel";
-import { Intake } from "./entry/intake.ts";
+import { CapacityMonitor } from "./entry/capacity-monitor.ts";
 import { Lookup } from "./entry/lookup.ts";
 import { Readiness } from "./entry/readiness.ts";
 import { Feeds } from "./feeds/feeds.ts";
@@ -30,30 +30,30 @@
 import { Dispatcher } from "./routing/dispatcher.ts";
 import { Outstanding } from "./routing/outstanding.ts";
 import type {
-  OutsideServices,
+  AdapterServices,
   RelayKernel,
   RelayServices,
 } from "./services.ts";
-import { Answers } from "./serving/answers.ts";
+import { RequestHandlers } from "./serving/request-handlers.ts";
 import { Attempts } from "./serving/attempts.ts";
-import { Front } from "./serving/front.ts";
+import { PublicServer } from "./serving/public-server.ts";
 
 type Names = readonly (keyof RelayServices)[];
 
 const CORE: Names = ["clock", "random", "logger", "settings"];
 
 /** Creates the outside services of an adapter. */
-export type OutsideFactory = {
-  [Name in keyof OutsideServices]: (
+export type AdapterFactories = {
+  [Name in keyof AdapterServices]: (
     kernel: RelayKernel,
-  ) => OutsideServices[Name];
+  ) => AdapterServices[Name];
 };
 
 /** Creates a relay node that is not started yet. */
 export function createRelayNode(
   settings: RelaySettings,
   logger: Logger,
-  outside: OutsideFactory,
+  outside: AdapterFactories,
 ): RelayKernel {
   const kernel: RelayKernel = new Kernel<RelayServices>();
   kernel
@@ -113,7 +113,7 @@
       [...CORE, "instances"],
       (services) => new Groups(services),
     )
-    .provide("intake", CORE, (services) => new Intake(services))
+    .provide("intake", CORE, (services) => new CapacityMonitor(services))
     .provide(
       "mesh",
       [
@@ -183,7 +183,7 @@
     .provide(
       "answers",
       [...CORE, "attempts"],
-      (services) => new Answers(services),
+      (services) => new RequestHandlers(services),
     )
     .provide(
       "lookup",
@@ -207,6 +207,6 @@
         "demand",
         "answers",
       ],
-      (services) => new Front(services),
+      (services) => new PublicServer(services),
     );
 }
--- a/packages/relay/src/relay-settings.ts
+++ b/packages/relay/src/relay-settings.ts
@@ -20,7 +20,7 @@
   }),
   limits: z.object({
     /** Time from the request to stop until the process is killed. */
-    stopMs: z.number(),
+    gracePeriodMs: z.number(),
     /** How long callers may keep a lookup answer. */
     lookupValidityMs: z.number(),
     /** Time after which an engine gives up work on a lost member. */
--- a/packages/relay/src/routing/current-configuration.ts
+++ b/packages/relay/src/routing/current-configuration.ts
@@ -7,7 +7,7 @@
 import type { Feeds } from "../feeds/feeds.ts";
 import type { Configuration } from "../model/configuration.ts";
 import type { KeyRecord } from "../model/peer-message.ts";
-import type { RecordDecoder } from "../outside.ts";
+import type { RecordDecoder } from "../adapter.ts";
 import type { RelayKernel } from "../services.ts";
 import { RouteTable } from "./route-table.ts";
 
--- a/packages/relay/src/routing/dispatcher.ts
+++ b/packages/relay/src/routing/dispatcher.ts
@@ -8,10 +8,7 @@
 import { Result } from "true-myth";
 import type { Group, Groups } from "../hosts/groups.ts";
 import type { Instances } from "../hosts/instances.ts";
-import type {
-  EngineProfile,
-  Service as ServiceProfile,
-} from "../model/configuration.ts";
+import type { EngineProfile, ServiceProfile } from "../model/configuration.ts";
 import type { Instance } from "../model/instance.ts";
 import type { RelayKernel } from "../services.ts";
 import { drawByLoad } from "./load-choice.ts";
@@ -98,7 +95,7 @@
   }
 
   #choosePlain(wish: Wish): Result<Choice, Refusal> {
-    const listed = this.#instances.listReady(wish.service.name);
+    const listed = this.#instances.listAvailable(wish.service.name);
     const reachable = listed.filter((instance) => this.#isReachable(instance));
     const candidates = reachable.length > 0 ? reachable : listed;
     const choices = candidates
--- a/packages/relay/src/routing/outstanding.ts
+++ b/packages/relay/src/routing/outstanding.ts
@@ -198,7 +198,7 @@
   #noteProgress(work: Work): void {
     work.eventAt = this.#clock.now();
     if (work.group !== undefined && this.#groups.isSuspected(work.group)) {
-      this.#groups.clear(work.group.name, work.group.epoch);
+      this.#groups.clearSuspicion(work.group.name, work.group.epoch);
     }
   }
 
--- a/packages/relay/src/routing/route-table.ts
+++ b/packages/relay/src/routing/route-table.ts
@@ -8,7 +8,7 @@
   Account,
   Configuration,
   Route,
-  Service,
+  ServiceProfile,
 } from "../model/configuration.ts";
 
 /** Indexes of one configuration. */
@@ -16,7 +16,7 @@
   readonly configuration: Configuration;
   /** Routes of each host, the longest prefix first. */
   #routes = new Map<string, Route[]>();
-  #services: ReadonlyMap<string, Service>;
+  #services: ReadonlyMap<string, ServiceProfile>;
   #accounts = new Map<string, Account>();
 
   constructor(configuration: Configuration) {
@@ -49,12 +49,12 @@
     return this.#accounts.get(key);
   }
 
-  findService(name: string): Service | undefined {
+  findService(name: string): ServiceProfile | undefined {
     return this.#services.get(name);
   }
 
   /** Draws one of a route's services by weight. */
-  drawService(route: Route, random: Random): Service | undefined {
+  drawService(route: Route, random: Random): ServiceProfile | undefined {
     const total = route.destinations.reduce(
       (sum, { weight }) => sum + weight,
       0,
--- a/packages/relay/src/services.ts
+++ b/packages/relay/src/services.ts
@@ -5,7 +5,7 @@
  */
 import type { PeerTransport } from "@zinniahill/clients";
 import type { Clock, Kernel, Logger, Random } from "@zinniahill/kernel";
-import type { Intake } from "./entry/intake.ts";
+import type { CapacityMonitor } from "./entry/capacity-monitor.ts";
 import type { Lookup } from "./entry/lookup.ts";
 import type { Readiness } from "./entry/readiness.ts";
 import type { Feeds } from "./feeds/feeds.ts";
@@ -14,12 +14,12 @@
 import type { Instances } from "./hosts/instances.ts";
 import type { Lifecycle } from "./lifecycle.ts";
 import type {
-  Engines,
+  EngineControl,
+  FeedStore,
+  HeaderCodec,
+  HolderElection,
   RecordDecoder,
-  RequestFormat,
-  Seat,
-  Topics,
-} from "./outside.ts";
+} from "./adapter.ts";
 import type { InstanceNews } from "./peers/instance-news.ts";
 import type { Mesh } from "./peers/mesh.ts";
 import type { PlacementController } from "./placement/controller.ts";
@@ -31,21 +31,21 @@
 import type { CurrentConfiguration } from "./routing/current-configuration.ts";
 import type { Dispatcher } from "./routing/dispatcher.ts";
 import type { Outstanding } from "./routing/outstanding.ts";
-import type { Answers } from "./serving/answers.ts";
+import type { RequestHandlers } from "./serving/request-handlers.ts";
 import type { Attempts } from "./serving/attempts.ts";
-import type { Front } from "./serving/front.ts";
+import type { PublicServer } from "./serving/public-server.ts";
 
 /** What an adapter provides. */
-export interface OutsideServices {
-  topics: Topics;
-  seat: Seat;
-  engines: Engines;
+export interface AdapterServices {
+  topics: FeedStore;
+  seat: HolderElection;
+  engines: EngineControl;
   decoder: RecordDecoder;
-  format: RequestFormat;
+  format: HeaderCodec;
 }
 
 /** Service types by name. */
-export interface RelayServices extends OutsideServices {
+export interface RelayServices extends AdapterServices {
   clock: Clock;
   random: Random;
   logger: Logger;
@@ -67,11 +67,11 @@
   outstanding: Outstanding;
   dispatcher: Dispatcher;
   attempts: Attempts;
-  answers: Answers;
-  intake: Intake;
+  answers: RequestHandlers;
+  intake: CapacityMonitor;
   lookup: Lookup;
   readiness: Readiness;
-  front: Front;
+  front: PublicServer;
 }
 
 /** The kernel of a relay node. */
--- a/packages/relay/src/serving/attempts.ts
+++ b/packages/relay/src/serving/attempts.ts
@@ -6,7 +6,7 @@
 import { type Clock, type Logger, type Service } from "@zinniahill/kernel";
 import { Refusal, type Verdict } from "@zinniahill/schema";
 import { Result } from "true-myth";
-import type { ReplyFacts, RequestFormat } from "../outside.ts";
+import type { HeaderCodec, ResponseMetadata } from "../adapter.ts";
 import type { Choice, Dispatcher } from "../routing/dispatcher.ts";
 import type { Outstanding, Ticket } from "../routing/outstanding.ts";
 import { RepeatBudget } from "../routing/repeat-budget.ts";
@@ -25,7 +25,7 @@
   readonly exchange: Exchange;
   readonly ticket: Ticket;
   readonly reply: UpstreamReply;
-  readonly facts: ReplyFacts;
+  readonly facts: ResponseMetadata;
   /** Ends the attempt; the upstream stops its work if it has not ended. */
   end(reason: Error): void;
 }
@@ -49,7 +49,7 @@
 export class Attempts implements Service {
   #clock: Clock;
   #logger: Logger;
-  #format: RequestFormat;
+  #format: HeaderCodec;
   #dispatcher: Dispatcher;
   #outstanding: Outstanding;
   #budget: RepeatBudget;
@@ -184,7 +184,7 @@
       return Result.err(sent.error);
     }
     const reply = sent.value;
-    const facts = this.#format.readReply(reply.headers);
+    const facts = this.#format.parseResponse(reply.headers);
     const fault = findFault(relayed, reply, facts);
     if (fault !== undefined) {
       if (reply.status === MISDIRECTED_STATUS) {
@@ -202,7 +202,7 @@
     lastEventId: string | undefined,
   ) {
     const leftMs = relayed.deadlineAt - this.#clock.now() - RETURN_MARGIN_MS;
-    const headers = this.#format.writeForward(relayed.request, {
+    const headers = this.#format.createForwardHeaders(relayed.request, {
       deadlineMs: Math.max(1, Math.floor(leftMs)),
       instance: instance.id,
       account: relayed.account?.name,
@@ -303,19 +303,19 @@
 function findFault(
   { facts: { attemptId } }: RelayedRequest,
   { status }: UpstreamReply,
-  facts: ReplyFacts,
+  facts: ResponseMetadata,
 ): AttemptFault | undefined {
   if (facts.attemptId !== undefined && facts.attemptId !== attemptId) {
     return fail("may-have-run", "the response belongs to another request");
   }
-  if (facts.isNotRun || status === MISDIRECTED_STATUS) {
+  if (facts.hasNotRun || status === MISDIRECTED_STATUS) {
     return fail("not-run", `the upstream refused with ${status}`);
   }
   if (NOT_RUN_STATUSES.has(status)) {
     return fail("may-have-run", `${status} without a promise`);
   }
   const isSuccess = status >= 200 && status < 300;
-  if (isSuccess && (!facts.isSealed || facts.isEncoded)) {
+  if (isSuccess && (!facts.isSigned || facts.isEncoded)) {
     return fail("may-have-run", "the response is not the upstream's own");
   }
   return undefined;
--- a/packages/relay/src/serving/caller-watch.ts
+++ b/packages/relay/src/serving/caller-disconnect.ts
@@ -9,7 +9,7 @@
 const CALLER_GONE = new Error("the caller has gone");
 
 /** Aborts when the caller goes before it has the whole reply. */
-export function watchCaller(response: ServerResponse): AbortSignal {
+export function watchDisconnect(response: ServerResponse): AbortSignal {
   const controller = new AbortController();
   const onGone = () => {
     if (!response.writableFinished) {
--- a/packages/relay/src/serving/front.ts
+++ b/packages/relay/src/serving/public-server.ts
@@ -22,13 +22,13 @@
 import type { Feeds } from "../feeds/feeds.ts";
 import type { Lifecycle } from "../lifecycle.ts";
 import type { Configuration } from "../model/configuration.ts";
-import type { RequestFacts, RequestFormat } from "../outside.ts";
+import type { HeaderCodec, RequestMetadata } from "../adapter.ts";
 import type { CurrentConfiguration } from "../routing/current-configuration.ts";
 import type { RelayMetrics } from "../relay-metrics.ts";
 import type { RelayKernel } from "../services.ts";
-import type { Answer, Answers } from "./answers.ts";
+import type { DeliveredResponse, RequestHandlers } from "./request-handlers.ts";
 import type { RelayedRequest } from "./relayed-request.ts";
-import { writeRefusal } from "./replies.ts";
+import { writeRefusal } from "./response-writer.ts";
 import { RequestReader } from "./request-reader.ts";
 
 /** The library's own limit; the configured one is checked for each request. */
@@ -44,7 +44,7 @@
 };
 
 /** Serves callers. */
-export class Front implements Service {
+export class PublicServer implements Service {
   #clock: Clock;
   #random: Random;
   #logger: Logger;
@@ -53,9 +53,9 @@
   #lifecycle: Lifecycle;
   #configuration: CurrentConfiguration;
   #feeds: Feeds;
-  #format: RequestFormat;
+  #format: HeaderCodec;
   #reader: RequestReader;
-  #answers: Answers;
+  #answers: RequestHandlers;
   #server: Server;
   #inFlight = 0;
 
@@ -132,7 +132,7 @@
   ): Promise<void> {
     this.#inFlight++;
     const receivedAt = this.#clock.now();
-    const facts = this.#format.readRequest(request);
+    const facts = this.#format.parseRequest(request);
     const id = facts.attemptId ?? this.#random.id();
     if (this.#lifecycle.isDraining) {
       response.setHeader("connection", "close");
@@ -164,10 +164,10 @@
     this.#logAnswer(relayed, answered.value);
   }
 
-  #logAnswer(relayed: RelayedRequest, answer: Answer): void {
+  #logAnswer(relayed: RelayedRequest, answer: DeliveredResponse): void {
     const { route, account, receivedAt, facts } = relayed;
     const now = this.#clock.now();
-    this.#metrics.noteAnswer(route, answer, receivedAt, now);
+    this.#metrics.recordResponse(route, answer, receivedAt, now);
     this.#logger.info("request_answered", {
       request: relayed.id,
       route: route.name,
@@ -190,7 +190,7 @@
 
   #refuse(
     id: string,
-    facts: RequestFacts,
+    facts: RequestMetadata,
     receivedAt: number,
     request: IncomingMessage,
     response: ServerResponse,
@@ -199,7 +199,7 @@
     const refusal = failure instanceof Refusal
       ? failure
       : new Refusal("internal", "may-have-run", describeError(failure));
-    this.#metrics.noteRefusal(refusal);
+    this.#metrics.recordRefusal(refusal);
     this.#logger.info("request_refused", {
       request: id,
       path: facts.target,
--- a/packages/relay/src/serving/relayed-request.ts
+++ b/packages/relay/src/serving/relayed-request.ts
@@ -5,18 +5,18 @@
  */
 import type { Buffer } from "node:buffer";
 import type { IncomingMessage, ServerResponse } from "node:http";
-import type { Account, Route, Service } from "../model/configuration.ts";
-import type { RequestFacts } from "../outside.ts";
+import type { Account, Route, ServiceProfile } from "../model/configuration.ts";
+import type { RequestMetadata } from "../adapter.ts";
 
 /** A request that was read whole and whose route is known. */
 export interface RelayedRequest {
   readonly id: string;
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
-  readonly facts: RequestFacts;
+  readonly facts: RequestMetadata;
   readonly body: Buffer;
   readonly route: Route;
-  readonly service: Service;
+  readonly service: ServiceProfile;
   readonly account: Account | undefined;
   /** The account's rank, or else the route's; 0 is the most urgent. */
   readonly rank: number;
--- a/packages/relay/src/serving/answers.ts
+++ b/packages/relay/src/serving/request-handlers.ts
@@ -18,7 +18,7 @@
 import { EventSplitter } from "./event-splitter.ts";
 import { collectBody, type UpstreamReply } from "./exchange.ts";
 import type { RelayedRequest } from "./relayed-request.ts";
-import { writeStreamHead, writeWholeReply } from "./replies.ts";
+import { writeStreamHead, writeWholeReply } from "./response-writer.ts";
 
 /** Where a response came from, and how full that upstream was. */
 export interface AnswerSource {
@@ -31,7 +31,7 @@
 }
 
 /** What an answered request came to. */
-export interface Answer extends AnswerSource {
+export interface DeliveredResponse extends AnswerSource {
   readonly status: number;
   /** When the first byte was written to the caller. */
   readonly firstByteAt: number;
@@ -40,7 +40,7 @@
   readonly longestGapMs: number;
 }
 
-type Outcome = Result<Answer, Refusal>;
+type Outcome = Result<DeliveredResponse, Refusal>;
 
 /** Answers a request of one kind. */
 type AnswerHandler = (relayed: RelayedRequest) => Promise<Outcome>;
@@ -66,7 +66,7 @@
 const OK_STATUS = 200;
 
 /** Answers requests by their kind. */
-export class Answers implements Service {
+export class RequestHandlers implements Service {
   #clock: Clock;
   #logger: Logger;
   #attempts: Attempts;
@@ -146,7 +146,7 @@
   #writeWhole(
     relayed: RelayedRequest,
     { reply, chunks, source }: WholeReply,
-  ): Answer {
+  ): DeliveredResponse {
     const method = relayed.request.method ?? "GET";
     writeWholeReply(relayed.response, method, reply, chunks);
     const firstByteAt = this.#clock.now();
--- a/packages/relay/src/serving/request-reader.ts
+++ b/packages/relay/src/serving/request-reader.ts
@@ -9,12 +9,12 @@
 import { Refusal } from "@zinniahill/schema";
 import type { Feeds } from "../feeds/feeds.ts";
 import type { Account, Route } from "../model/configuration.ts";
-import type { RequestFacts } from "../outside.ts";
+import type { RequestMetadata } from "../adapter.ts";
 import type { Demand } from "../placement/demand.ts";
 import type { CurrentConfiguration } from "../routing/current-configuration.ts";
 import type { RouteTable } from "../routing/route-table.ts";
 import type { RelayKernel } from "../services.ts";
-import { watchCaller } from "./caller-watch.ts";
+import { watchDisconnect } from "./caller-disconnect.ts";
 import { countHeaderBytes } from "./headers.ts";
 import type { RelayedRequest } from "./relayed-request.ts";
 
@@ -39,14 +39,14 @@
   /** Reads a request and finds what it is about. */
   async read(
     id: string,
-    facts: RequestFacts,
+    facts: RequestMetadata,
     receivedAt: number,
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<RelayedRequest> {
     const table = this.#findTable();
     const { limits } = table.configuration;
-    if (countHeaderBytes(request.rawHeaders) > limits.headerBytes) {
+    if (countHeaderBytes(request.rawHeaders) > limits.maxHeaderBytes) {
       throw new Refusal("head-too-large", "not-run", "the head is too large");
     }
     const route = this.#findRoute(table, facts);
@@ -58,7 +58,7 @@
     this.#noteDemand(service, facts);
     const deadlineAt = receivedAt +
       Math.min(facts.deadlineMs ?? route.timeoutMs, route.timeoutMs);
-    const body = await this.#readBody(request, limits.bodyBytes, deadlineAt);
+    const body = await this.#readBody(request, limits.maxBodyBytes, deadlineAt);
     return {
       id,
       request,
@@ -71,7 +71,7 @@
       rank: account?.rank ?? route.rank,
       receivedAt,
       deadlineAt,
-      gone: watchCaller(response),
+      gone: watchDisconnect(response),
       sentTo: new Set(),
       mayHaveRun: false,
     };
@@ -90,7 +90,7 @@
     return table;
   }
 
-  #findRoute(table: RouteTable, { host, target }: RequestFacts): Route {
+  #findRoute(table: RouteTable, { host, target }: RequestMetadata): Route {
     const path = target.split("?", 1)[0]!;
     const route = table.findRoute(host, path);
     if (route === undefined) {
@@ -102,9 +102,11 @@
   #findAccount(
     table: RouteTable,
     route: Route,
-    { key }: RequestFacts,
+    { apiKey }: RequestMetadata,
   ): Account | undefined {
-    const account = key === undefined ? undefined : table.findAccount(key);
+    const account = apiKey === undefined
+      ? undefined
+      : table.findAccount(apiKey);
     const isNeeded = table.configuration.accounts !== undefined &&
       !route.isAnonymous;
     if (isNeeded && account === undefined) {
@@ -127,11 +129,12 @@
 
   #noteDemand(
     { engine }: RelayedRequest["service"],
-    { model: name, promptTokens, outputTokens, outputHint }: RequestFacts,
+    { model: name, promptTokens, outputTokens, outputTokensHint }:
+      RequestMetadata,
   ): void {
     const model = engine?.models.find((model) => model.name === name);
     if (engine !== undefined && model !== undefined) {
-      const tokens = outputHint ?? outputTokens;
+      const tokens = outputTokensHint ?? outputTokens;
       this.#demand.note(engine, model, promptTokens, tokens);
     }
   }
--- a/packages/relay/test/engine.ts
+++ b/packages/relay/test/engine.ts
@@ -7,20 +7,20 @@
 
 export const LARGE: ModelProfile = {
   name: "large",
-  hosts: 6,
-  share: 0.67,
-  pace: 1,
+  hostCount: 6,
+  initialShare: 0.67,
+  timeFactor: 1,
   loadMs: 16_000,
-  warmMs: 1600,
+  stagedLoadMs: 1600,
 };
 
 export const SMALL: ModelProfile = {
   name: "small",
-  hosts: 3,
-  share: 0.33,
-  pace: 0.6,
+  hostCount: 3,
+  initialShare: 0.33,
+  timeFactor: 0.6,
   loadMs: 12_000,
-  warmMs: 1100,
+  stagedLoadMs: 1100,
 };
 
 export const ENGINE: EngineProfile = {
@@ -33,7 +33,7 @@
   prefillTokensPerMs: 56,
   pairMsPerMillion: 0.3,
   chunkTokens: 2048,
-  loadsPerSecond: 5,
+  maxLoadsPerSecond: 5,
   concurrentLoads: 2,
   openMs: 300,
   models: [LARGE, SMALL],
--- a/packages/relay/test/entry/intake.test.ts
+++ b/packages/relay/test/entry/capacity-monitor.test.ts
@@ -1,6 +1,6 @@
 import { Kernel, ManualClock } from "@zinniahill/kernel";
 import { afterEach, describe, expect, it } from "vitest";
-import { Intake } from "../../src/entry/intake.ts";
+import { CapacityMonitor } from "../../src/entry/capacity-monitor.ts";
 import type { RelayKernel, RelayServices } from "../../src/services.ts";
 
 const WINDOW_MS = 1000;
@@ -14,7 +14,7 @@
   }
 }
 
-let intake: Intake;
+let intake: CapacityMonitor;
 
 async function start(): Promise<LateClock> {
   const clock = new LateClock();
@@ -25,7 +25,7 @@
     .provide("logger", [], () => silent)
     .provide("settings", [], () => ({ node: { coreShare: 0.8 } }) as never);
   await kernel.start();
-  intake = new Intake(kernel);
+  intake = new CapacityMonitor(kernel);
   intake.start();
   return clock;
 }
--- a/packages/relay/test/feeds/feeds.test.ts
+++ b/packages/relay/test/feeds/feeds.test.ts
@@ -6,8 +6,8 @@
   Batch,
   Fault,
   FeedName,
+  FeedStore,
   Snapshot,
-  Topics,
 } from "../../src/index.ts";
 import type { RelayKernel, RelayServices } from "../../src/services.ts";
 
@@ -16,7 +16,7 @@
 const POLL_MS = 200;
 
 /** A store that turns reads away for as long as the test says. */
-class SwitchedTopics implements Topics {
+class SwitchedTopics implements FeedStore {
   isAway = false;
   /** Announced nodes. */
   nodes = 0;
@@ -54,7 +54,7 @@
     return this.#answer();
   }
 
-  writeNode(): Promise<Result<void, Fault>> {
+  announceNode(): Promise<Result<void, Fault>> {
     return Promise.resolve(Result.ok(undefined));
   }
 
--- a/packages/relay/test/hosts/instances.test.ts
+++ b/packages/relay/test/hosts/instances.test.ts
@@ -70,7 +70,7 @@
       const { version } = instances;
       put(LEAVING);
       expect(instances.version).toBeGreaterThan(version);
-      expect(instances.listReady("records")).toEqual([]);
+      expect(instances.listAvailable("records")).toEqual([]);
     });
   });
 
--- a/packages/relay/test/peers/instance-news.test.ts
+++ b/packages/relay/test/peers/instance-news.test.ts
@@ -1,7 +1,7 @@
 import { Kernel, ManualClock } from "@zinniahill/kernel";
 import { describe, expect, it } from "vitest";
 import { KeyTable } from "../../src/feeds/key-table.ts";
-import type { NewsListener } from "../../src/hosts/instances.ts";
+import type { UpdateListener } from "../../src/hosts/instances.ts";
 import type { KeyRecord, MessageOf } from "../../src/model/peer-message.ts";
 import { InstanceNews } from "../../src/peers/instance-news.ts";
 import type { RelayKernel, RelayServices } from "../../src/services.ts";
@@ -25,7 +25,7 @@
     hear: (_news: News) => {},
   };
   const instances = {
-    onNews: (listener: NewsListener) => {
+    onUpdate: (listener: UpdateListener) => {
       world.read = (news, next) => {
         table.apply(news, next);
         listener(news);
--- a/packages/relay/test/placement/holder.test.ts
+++ b/packages/relay/test/placement/holder.test.ts
@@ -1,20 +1,22 @@
 import { Kernel, ManualClock, SeededRandom } from "@zinniahill/kernel";
 import { Result } from "true-myth";
 import { afterEach, describe, expect, it } from "vitest";
-import type { Seat, Standing } from "../../src/index.ts";
+import type { ElectionStatus, HolderElection } from "../../src/index.ts";
 import type { Mesh } from "../../src/peers/mesh.ts";
 import type { Peer } from "../../src/peers/peer.ts";
 import { Holder } from "../../src/placement/holder.ts";
 import type { RelayKernel, RelayServices } from "../../src/services.ts";
 
 /** A membership that deals placement to this node whenever it joins. */
-class CountedSeat implements Seat {
+class CountedSeat implements HolderElection {
   renewals = 0;
   isMember = false;
   isHolder = true;
   isAway = false;
 
-  renew(): Promise<Result<Standing, { verdict: "not-run"; message: string }>> {
+  renew(): Promise<
+    Result<ElectionStatus, { verdict: "not-run"; message: string }>
+  > {
     if (this.isAway) {
       return Promise.resolve(
         Result.err({ verdict: "not-run", message: "503" }),
@@ -113,7 +115,7 @@
   }
 
   /** The membership as one node reaches it. */
-  of(node: { isCutOff: boolean }): Seat {
+  of(node: { isCutOff: boolean }): HolderElection {
     return {
       renew: (member, _generation, termMs) => {
         if (node.isCutOff) {
--- a/packages/relay/test/placement/lead-release.test.ts
+++ b/packages/relay/test/placement/lead-release.test.ts
@@ -1,9 +1,17 @@
 import { Kernel, ManualClock, SeededRandom } from "@zinniahill/kernel";
 import { Result } from "true-myth";
 import { describe, expect, it } from "vitest";
-import type { Engines, Fault, OrderReply, Report } from "../../src/index.ts";
+import type {
+  EngineControl,
+  EngineReport,
+  Fault,
+  OrderReply,
+} from "../../src/index.ts";
 import type { Mesh } from "../../src/peers/mesh.ts";
-import type { LeadAttempt, NodeEntry } from "../../src/model/peer-message.ts";
+import type {
+  LeadReleaseOutcome,
+  NodeEntry,
+} from "../../src/model/peer-message.ts";
 import { LeadRelease } from "../../src/placement/lead-release.ts";
 import type { RelayKernel, RelayServices } from "../../src/services.ts";
 
@@ -11,7 +19,7 @@
 const FOREVER = new AbortController().signal;
 const LEAD = { id: "i-1", address: "10.0.0.1:80" };
 
-function createReport(group: string | undefined): Report {
+function createReport(group: string | undefined): EngineReport {
   return {
     engine: {
       fabricDomain: "d1",
@@ -24,7 +32,7 @@
     isBusy: false,
     running: 0,
     waiting: 0,
-    pace: 1,
+    timeFactor: 1,
   };
 }
 
@@ -40,7 +48,7 @@
 
 /** The other nodes, and what each of them says of its own attempts. */
 interface OtherNodes {
-  readonly answers: readonly (LeadAttempt | "silent")[];
+  readonly answers: readonly (LeadReleaseOutcome | "silent")[];
   /** Nodes that are known but not connected. */
   readonly lost: number;
 }
@@ -50,16 +58,16 @@
 /** A lead release over engines and peers that answer as the test says. */
 async function release(
   order: OrderReply | undefined,
-  report: Report | undefined,
+  report: EngineReport | undefined,
   { answers, lost }: OtherNodes = NO_OTHERS,
 ): Promise<string> {
   const clock = new ManualClock();
-  const engines: Engines = {
-    order: () =>
+  const engines: EngineControl = {
+    sendOrder: () =>
       Promise.resolve(
         order === undefined ? Result.err(SILENT) : Result.ok(order),
       ),
-    report: () =>
+    requestReport: () =>
       Promise.resolve(
         report === undefined ? Result.err(SILENT) : Result.ok(report),
       ),
--- a/packages/relay/test/placement/loads.test.ts
+++ b/packages/relay/test/placement/loads.test.ts
@@ -87,7 +87,7 @@
       const clock = new ManualClock();
       const limit = new LoadLimit(clock, () => true);
       const granted = await countGranted(limit, clock, 5000);
-      expect(granted).toBeLessThanOrEqual(ENGINE.loadsPerSecond * 5);
+      expect(granted).toBeLessThanOrEqual(ENGINE.maxLoadsPerSecond * 5);
       expect(granted).toBeGreaterThan(10);
     });
 
--- a/packages/relay/test/placement/plan.test.ts
+++ b/packages/relay/test/placement/plan.test.ts
@@ -76,8 +76,10 @@
       fc.assert(fc.property(anyFree, (free) => {
         const { formations } = createPlan(createBasis(free));
         for (const { model, members } of formations) {
-          const { hosts } = ENGINE.models.find(({ name }) => name === model)!;
-          expect(members).toHaveLength(hosts);
+          const { hostCount } = ENGINE.models.find(({ name }) =>
+            name === model
+          )!;
+          expect(members).toHaveLength(hostCount);
         }
       }));
     });
--- a/packages/relay/test/relay-metrics.test.ts
+++ b/packages/relay/test/relay-metrics.test.ts
@@ -18,7 +18,7 @@
   describe("answers", () => {
     it("have their times counted from the head of the request, in seconds", async () => {
       const metrics = new RelayMetrics();
-      metrics.noteAnswer(STREAM, { ...ANSWER, longestGapMs: 90 }, 20, 520);
+      metrics.recordResponse(STREAM, { ...ANSWER, longestGapMs: 90 }, 20, 520);
       const text = await metrics.render();
       expect(text).toContain(
         'zinniahill_first_byte_seconds_sum{kind="stream",rank="1"} 0.1',
@@ -33,7 +33,7 @@
 
     it("show by how much a count of requests was out of date", async () => {
       const metrics = new RelayMetrics();
-      metrics.noteAnswer(STREAM, { ...ANSWER, longestGapMs: 90 }, 20, 520);
+      metrics.recordResponse(STREAM, { ...ANSWER, longestGapMs: 90 }, 20, 520);
       expect(await metrics.render()).toContain(
         'zinniahill_load_error_requests_sum{kind="stream"} 24',
       );
@@ -41,7 +41,7 @@
 
     it("without events have no gap, which would hide the gaps of streams", async () => {
       const metrics = new RelayMetrics();
-      metrics.noteAnswer(CALL, { ...ANSWER, longestGapMs: 0 }, 20, 520);
+      metrics.recordResponse(CALL, { ...ANSWER, longestGapMs: 0 }, 20, 520);
       expect(await metrics.render()).not.toContain("longest_gap_seconds_sum");
     });
   });
@@ -49,8 +49,8 @@
   describe("orders", () => {
     it("are counted by kind and outcome", async () => {
       const metrics = new RelayMetrics();
-      metrics.noteOrder("join", "accepted");
-      metrics.noteOrder("join", "no-reply");
+      metrics.recordOrder("join", "accepted");
+      metrics.recordOrder("join", "no-reply");
       expect(await metrics.render()).toContain(
         'zinniahill_orders_total{order="join",outcome="no-reply"} 1',
       );
--- a/packages/relay/test/routing/many-nodes.test.ts
+++ b/packages/relay/test/routing/many-nodes.test.ts
@@ -1,7 +1,7 @@
 import { Kernel, ManualClock, SeededRandom } from "@zinniahill/kernel";
 import { describe, expect, it } from "vitest";
 import type { Group } from "../../src/hosts/groups.ts";
-import type { Service as ServiceProfile } from "../../src/model/configuration.ts";
+import type { ServiceProfile } from "../../src/model/configuration.ts";
 import type { OutstandingCount } from "../../src/model/peer-message.ts";
 import { PeerWork } from "../../src/peers/peer-work.ts";
 import { Dispatcher } from "../../src/routing/dispatcher.ts";
--- a/packages/relay/test/routing/route-table.test.ts
+++ b/packages/relay/test/routing/route-table.test.ts
@@ -31,8 +31,8 @@
   ],
   accounts: [{ name: "north", keys: ["k1", "k2"] }],
   limits: {
-    headerBytes: 1,
-    bodyBytes: 1,
+    maxHeaderBytes: 1,
+    maxBodyBytes: 1,
     headerTimeoutMs: 1,
     idleTimeoutMs: 1,
   },
--- a/packages/relay/test/serving/caller-watch.test.ts
+++ b/packages/relay/test/serving/caller-disconnect.test.ts
@@ -7,7 +7,7 @@
 } from "node:http";
 import { type AddressInfo, connect } from "node:net";
 import { afterEach, describe, expect, it } from "vitest";
-import { watchCaller } from "../../src/serving/caller-watch.ts";
+import { watchDisconnect } from "../../src/serving/caller-disconnect.ts";
 
 const REQUEST = "GET / HTTP/1.1\r\nhost: a.example\r\n\r\n";
 
@@ -32,7 +32,7 @@
     it("aborts in the turn in which the caller's end is read", async () => {
       const seen = new Promise<boolean>((resolve) => {
         void listen((request, response) => {
-          const gone = watchCaller(response);
+          const gone = watchDisconnect(response);
           request.socket.once("end", () => resolve(gone.aborted));
         }).then((port) => {
           const caller = connect(port, "127.0.0.1");
@@ -47,7 +47,7 @@
     it("is not taken for gone, as nothing is left to be cancelled", async () => {
       let gone: AbortSignal | undefined;
       const port = await listen((_request, response) => {
-        gone = watchCaller(response);
+        gone = watchDisconnect(response);
         response.end("whole");
       });
       await new Promise<void>((resolve) => {
