--- a/packages/relay/src/placement/group-former.ts
+++ b/packages/relay/src/placement/group-former.ts
@@ -163,7 +163,7 @@
       );
       const limitMs = isLoading || group.stagingHosts.has(id)
         ? model.loadMs * LOAD_TIMEOUT_FACTOR
-        : model.warmMs + JOIN_TIMEOUT_MS;
+        : model.stagedLoadMs + JOIN_TIMEOUT_MS;
       await this.#waitFor(limitMs, () => this.#isReady(group, id), signal);
     } finally {
       release();
