--- a/packages/relay/src/serving/request-reader.ts
+++ b/packages/relay/src/serving/request-reader.ts
@@ -156,7 +156,7 @@
     const model = engine?.models.find((model) => model.name === name);
     if (engine !== undefined && model !== undefined) {
       const tokens = outputTokensHint ?? outputTokens;
-      this.#demand.note(engine, model, promptTokens, tokens);
+      this.#demand.recordRequest(engine, model, promptTokens, tokens);
     }
   }
 
