--- a/packages/relay/src/entry/lookup.ts
+++ b/packages/relay/src/entry/lookup.ts
@@ -70,7 +70,10 @@
     const peers = this.#mesh.list().filter(({ isServing }) => isServing);
     return this.#lifecycle.isServing
       ? [
-        { entry: this.#mesh.ownEntry, capacity: this.#capacityMonitor.capacity },
+        {
+          entry: this.#mesh.ownEntry,
+          capacity: this.#capacityMonitor.capacity,
+        },
         ...peers,
       ]
       : peers;
