--- a/packages/kernel/src/bounded-sink.ts
+++ b/packages/kernel/src/bounded-sink.ts
@@ -10,7 +10,7 @@
 /** Lines beyond this size are dropped while the reader does not read. */
 const MAX_PENDING_BYTES = 512 * 1024;
 const RETRY_MS = 50;
-const TEXT_ENCODER = "utf8";
+const TEXT_ENCODING = "utf8";
 
 /**
  * Writes to a file descriptor in the background, one write at a time. What a
@@ -40,7 +40,7 @@
     _encoding: string,
     onDone: (failure?: Error | null) => void,
   ): void {
-    const bytes = Buffer.from(line, TEXT_ENCODER);
+    const bytes = Buffer.from(line, TEXT_ENCODING);
     if (this.#pendingBytes + bytes.length > this.#maxBytes) {
       this.#droppedLines++;
     } else {
--- a/packages/kernel/src/kernel.ts
+++ b/packages/kernel/src/kernel.ts
@@ -51,10 +51,10 @@
 
   /** Creates every service in order of need, then starts each one. */
   async start(): Promise<void> {
-    const order = this.#orderByNeed();
+    const order = this.#sortByDependency();
     for (const name of order) {
-      const provision = this.#providers.get(name)!;
-      this.#services.set(name, provision.create(this) as Service);
+      const provider = this.#providers.get(name)!;
+      this.#services.set(name, provider.create(this) as Service);
     }
     for (const name of order) {
       this.#started.push(name);
@@ -88,7 +88,7 @@
     return state;
   }
 
-  #orderByNeed(): (keyof Directory & string)[] {
+  #sortByDependency(): (keyof Directory & string)[] {
     const order: (keyof Directory & string)[] = [];
     const visiting = new Set<string>();
     const visit = (name: keyof Directory & string, path: string[]): void => {
@@ -99,13 +99,13 @@
       if (visiting.has(name)) {
         throw new KernelError(`services need each other: ${chain.join(" > ")}`);
       }
-      const provision = this.#providers.get(name);
-      if (provision === undefined) {
+      const provider = this.#providers.get(name);
+      if (provider === undefined) {
         throw new KernelError(`missing service: ${chain.join(" > ")}`);
       }
       visiting.add(name);
-      for (const need of provision.dependencies) {
-        visit(need, chain);
+      for (const dependency of provider.dependencies) {
+        visit(dependency, chain);
       }
       visiting.delete(name);
       order.push(name);
--- a/packages/kernel/src/logger.ts
+++ b/packages/kernel/src/logger.ts
@@ -36,12 +36,12 @@
   readonly clock?: Clock;
 }
 
-const BARE_VALUE = /^[A-Za-z0-9_.:\/@+-]+$/;
+const UNQUOTED_VALUE = /^[A-Za-z0-9_.:\/@+-]+$/;
 
 /** Formats one value; quotes it where a reader could not split the line. */
 export function formatValue(value: FieldValue): string {
   const text = String(value);
-  return BARE_VALUE.test(text) ? text : JSON.stringify(text);
+  return UNQUOTED_VALUE.test(text) ? text : JSON.stringify(text);
 }
 
 /** Formats an event as one line of key=value pairs. */
@@ -80,7 +80,7 @@
   #sink: BoundedSink;
   #counts = new Map<string, EventCount>();
   #intervalEndsAt = -Infinity;
-  #reportedDrops = 0;
+  #reportedDroppedLines = 0;
 
   constructor(options: LoggerOptions) {
     this.#fields = options.fields;
@@ -121,7 +121,7 @@
   }
 
   #write(level: Level, event: string, fields: Fields): void {
-    this.#endInterval();
+    this.#endIntervalIfDue();
     const count = this.#counts.get(event) ?? { lines: 0, dropped: 0 };
     this.#counts.set(event, count);
     if (count.lines >= MAX_LINES_PER_INTERVAL) {
@@ -133,7 +133,7 @@
   }
 
   /** Says at the end of an interval which lines were left out. */
-  #endInterval(): void {
+  #endIntervalIfDue(): void {
     const now = this.#clock.now();
     if (now < this.#intervalEndsAt) {
       return;
@@ -147,9 +147,9 @@
       }
     }
     const { droppedLines } = this.#sink;
-    if (droppedLines > this.#reportedDrops) {
-      const lines = droppedLines - this.#reportedDrops;
-      this.#reportedDrops = droppedLines;
+    if (droppedLines > this.#reportedDroppedLines) {
+      const lines = droppedLines - this.#reportedDroppedLines;
+      this.#reportedDroppedLines = droppedLines;
       this.#log("warn", "log_lines_left_out", { of: "stalled output", lines });
     }
   }
--- a/packages/kernel/src/tasks.ts
+++ b/packages/kernel/src/tasks.ts
@@ -42,7 +42,7 @@
 
   /** Runs a task once; a failure is logged and ends only that task. */
   run(name: string, body: TaskBody): Promise<void> {
-    const task = this.#guard(name, body).finally(() => {
+    const task = this.#runAndLogFailure(name, body).finally(() => {
       this.#tasks.delete(task);
     });
     this.#tasks.add(task);
@@ -53,7 +53,7 @@
   repeat(name: string, pauseMs: number, body: TaskBody): Promise<void> {
     return this.run(name, async (signal) => {
       while (!signal.aborted) {
-        await this.#guard(name, body);
+        await this.#runAndLogFailure(name, body);
         await this.#clock.sleep(pauseMs, signal);
       }
     });
@@ -65,7 +65,7 @@
     await Promise.allSettled([...this.#tasks]);
   }
 
-  async #guard(name: string, body: TaskBody): Promise<void> {
+  async #runAndLogFailure(name: string, body: TaskBody): Promise<void> {
     try {
       await body(this.signal);
     } catch (failure) {
--- a/packages/kernel/test/logger.test.ts
+++ b/packages/kernel/test/logger.test.ts
@@ -24,7 +24,7 @@
 
 afterEach(() => rmSync(folder, { recursive: true }));
 
-async function settle(): Promise<void> {
+async function waitForWrites(): Promise<void> {
   await new SystemClock().sleep(100);
 }
 
@@ -46,7 +46,7 @@
       logger.info("other");
       await clock.advance(2000);
       logger.info("later");
-      await settle();
+      await waitForWrites();
       closeSync(descriptor);
       const lines = readFileSync(file, "utf8").trim().split("\n");
       expect(lines.filter((line) => line.includes("event=flood")).length)
@@ -68,17 +68,17 @@
       const descriptor = openSync(pipe, "r+");
       const sink = new BoundedSink(descriptor, 100_000);
       const clock = new SystemClock();
-      const began = clock.now();
+      const startedAt = clock.now();
       for (let line = 0; line < 10_000; line++) {
         sink.write(`${"x".repeat(100)}\n`);
       }
-      expect(clock.now() - began).toBeLessThan(2000);
-      await settle();
+      expect(clock.now() - startedAt).toBeLessThan(2000);
+      await waitForWrites();
       expect(sink.droppedLines).toBeGreaterThan(5000);
       // Reading the pipe lets the write that still waits end.
       const drain = spawnSync("head", ["-c", "60000", pipe]);
       expect(drain.stdout.length).toBeGreaterThan(0);
-      await settle();
+      await waitForWrites();
       closeSync(descriptor);
     });
   });
--- a/packages/schema/src/records.ts
+++ b/packages/schema/src/records.ts
@@ -9,13 +9,13 @@
 /** An offset in a stream of the log; the first record has offset 1. */
 export const Offset = z.number().int().min(0);
 
-const Header = { id: z.string(), node: z.string() };
-const Fenced = { ...Header, scope: z.string(), fence: Offset };
-const GroupStep = { ...Fenced, group: z.string() };
+const RecordHeader = { id: z.string(), node: z.string() };
+const FencedHeader = { ...RecordHeader, scope: z.string(), fence: Offset };
+const GroupHeader = { ...FencedHeader, group: z.string() };
 
 /** A new text of the rules, made from version `basis`. */
 export const ConfigurationRecord = z.object({
-  ...Header,
+  ...RecordHeader,
   kind: z.literal("configuration"),
   basis: Offset,
   text: z.string(),
@@ -24,7 +24,7 @@
 
 /** A claim (`fence` 0) or a renewal of the lease of a scope. */
 export const LeaseRecord = z.object({
-  ...Fenced,
+  ...FencedHeader,
   kind: z.literal("lease"),
   /** Offset of the last lease record of the scope that the writer has read. */
   basis: Offset,
@@ -32,7 +32,7 @@
 
 /** Hosts that are to form a group; the first one is the lead. */
 export const GroupAssignedRecord = z.object({
-  ...GroupStep,
+  ...GroupHeader,
   kind: z.literal("group-assigned"),
   model: z.string(),
   version: z.string(),
@@ -45,39 +45,39 @@
 
 /** The holder begins to order the group's hosts to load. */
 export const GroupLoadingRecord = z.object({
-  ...GroupStep,
+  ...GroupHeader,
   kind: z.literal("group-loading"),
 });
 
 /** Every host of the group has confirmed its role. */
 export const GroupReadyRecord = z.object({
-  ...GroupStep,
+  ...GroupHeader,
   kind: z.literal("group-ready"),
 });
 
 /** The group takes no new work. */
 export const GroupDrainingRecord = z.object({
-  ...GroupStep,
+  ...GroupHeader,
   kind: z.literal("group-draining"),
 });
 
 /** The group is gone; the hosts in `released` have confirmed the unload. */
 export const GroupRetiredRecord = z.object({
-  ...GroupStep,
+  ...GroupHeader,
   kind: z.literal("group-retired"),
   released: z.array(z.string()),
 });
 
 /** A host of a retired group has confirmed the unload. */
 export const HostReleasedRecord = z.object({
-  ...Fenced,
+  ...FencedHeader,
   kind: z.literal("host-released"),
   host: z.string(),
 });
 
 /** An operator takes a host out of service, or gives it back. */
 export const HostDrainedRecord = z.object({
-  ...Header,
+  ...RecordHeader,
   kind: z.literal("host-drained"),
   host: z.string(),
   drained: z.boolean(),
@@ -168,7 +168,7 @@
 
 /** The state as of an earlier offset, for readers with none. */
 export const CheckpointRecord = z.object({
-  ...Header,
+  ...RecordHeader,
   kind: z.literal("checkpoint"),
   state: ControlSnapshot,
 });
@@ -197,7 +197,7 @@
 
 /** A node is about to make a non-idempotent call. */
 export const IntentRecord = z.object({
-  ...Header,
+  ...RecordHeader,
   kind: z.literal("intent"),
   /** Hash of client account, service and idempotency key. */
   key: z.string(),
@@ -206,7 +206,7 @@
 
 /** How a non-idempotent call ended. */
 export const OutcomeRecord = z.object({
-  ...Header,
+  ...RecordHeader,
   kind: z.literal("outcome"),
   key: z.string(),
   /** Id of the intent. */
--- a/packages/schema/src/rules.ts
+++ b/packages/schema/src/rules.ts
@@ -168,7 +168,7 @@
       Err: (lineFaults) => faults.push(...lineFaults),
     });
   });
-  faults.push(...findRepeatedNames(lines));
+  faults.push(...findDuplicateNames(lines));
   faults.push(...findExcessFloors(lines));
   return faults.length > 0
     ? Result.err(faults.sort((a, b) => a.line - b.line))
@@ -240,18 +240,18 @@
     : Result.ok(Object.fromEntries(values));
 }
 
-function findRepeatedNames(lines: readonly RuleLine[]): RuleFault[] {
+function findDuplicateNames(lines: readonly RuleLine[]): RuleFault[] {
   const seen = new Map<string, number>();
   const faults: RuleFault[] = [];
   for (const { kind, line, rule } of lines) {
     const key = `${kind} ${rule.name}`;
-    const first = seen.get(key);
-    if (first === undefined) {
+    const firstLine = seen.get(key);
+    if (firstLine === undefined) {
       seen.set(key, line);
     } else {
       faults.push({
         line,
-        message: `${key} is already given in line ${first}`,
+        message: `${key} is already given in line ${firstLine}`,
       });
     }
   }
--- a/packages/schema/src/settings.ts
+++ b/packages/schema/src/settings.ts
@@ -80,7 +80,7 @@
   const parsed = Settings.safeParse(parse(text));
   const issues = parsed.error?.issues ?? [];
   const faults = [
-    ...findRepeatedKeys(file, text),
+    ...findDuplicateKeys(file, text),
     ...issues.flatMap((issue) => createFaults(file, text, issue)),
   ];
   return parsed.success && faults.length === 0
@@ -90,11 +90,11 @@
 
 /** Describes a fault in one line. */
 export function describeSettingsFault(fault: SettingsFault): string {
-  const place = fault.line === undefined
+  const location = fault.line === undefined
     ? fault.file
     : `${fault.file}:${fault.line}`;
   const key = fault.key === "" ? "" : ` ${fault.key}`;
-  return `${place}: [${fault.section}]${key}: ${fault.message}`;
+  return `${location}: [${fault.section}]${key}: ${fault.message}`;
 }
 
 function createFaults(
@@ -111,8 +111,8 @@
     const [section, key] = issue.path.length === 0
       ? [unknownKey, ""]
       : [String(issue.path[0]), unknownKey];
-    const what = key === "" ? "unknown section" : "unknown key";
-    return createFault(file, text, section, key, what);
+    const message = key === "" ? "unknown section" : "unknown key";
+    return createFault(file, text, section, key, message);
   });
 }
 
@@ -122,23 +122,23 @@
 }
 
 /** The INI library takes the last of two values, which hides a mistake. */
-function findRepeatedKeys(file: string, text: string): SettingsFault[] {
+function findDuplicateKeys(file: string, text: string): SettingsFault[] {
   const seen = new Set<string>();
   const faults: SettingsFault[] = [];
   let section = "";
   for (const [index, source] of text.split(/\r?\n/).entries()) {
-    const header = source.trim().match(/^\[(.*)\]$/);
-    section = header?.[1] ?? section;
+    const sectionHeader = source.trim().match(/^\[(.*)\]$/);
+    section = sectionHeader?.[1] ?? section;
     const key = source.match(/^\s*([^;#=\s[][^=]*?)\s*=/)?.[1];
     if (key === undefined) {
       continue;
     }
-    const name = `${section} ${key}`;
-    if (seen.has(name)) {
+    const qualifiedKey = `${section} ${key}`;
+    if (seen.has(qualifiedKey)) {
       const message = "given twice";
       faults.push({ file, line: index + 1, section, key, message });
     }
-    seen.add(name);
+    seen.add(qualifiedKey);
   }
   return faults;
 }
@@ -166,9 +166,11 @@
   if (key === "") {
     return start + 1;
   }
-  const rest = lines.slice(start + 1);
-  const end = rest.findIndex((line) => line.startsWith("["));
-  const body = end < 0 ? rest : rest.slice(0, end);
-  const index = body.findIndex((line) => line.split("=")[0]?.trim() === key);
+  const followingLines = lines.slice(start + 1);
+  const end = followingLines.findIndex((line) => line.startsWith("["));
+  const sectionLines = end < 0 ? followingLines : followingLines.slice(0, end);
+  const index = sectionLines.findIndex((line) =>
+    line.split("=")[0]?.trim() === key
+  );
   return index < 0 ? start + 1 : start + index + 2;
 }
--- a/packages/schema/src/values.ts
+++ b/packages/schema/src/values.ts
@@ -52,7 +52,7 @@
   /^\d+(\.\d+)?%$/,
   "expected a share in per cent, such as 20%",
 ).transform((text) => Number.parseFloat(text) / 100)
-  .refine((share) => share <= 1, "expected at most 100%");
+  .refine((fraction) => fraction <= 1, "expected at most 100%");
 
 /** A rate such as `50/s`, in units a second. */
 export const Rate = z.string().regex(
@@ -68,7 +68,7 @@
 export const PositiveNumber = z.string().regex(
   /^\d+(\.\d+)?$/,
   "expected a positive number",
-).transform(Number).refine((weight) => weight > 0, "expected more than 0");
+).transform(Number).refine((number) => number > 0, "expected more than 0");
 
 /** A list separated by commas, of at least one item. */
 export function createListSchema<Item extends z.ZodType<unknown, string>>(
--- a/packages/schema/test/peer.test.ts
+++ b/packages/schema/test/peer.test.ts
@@ -9,7 +9,7 @@
 } from "../src/index.ts";
 
 /** Bytes a second that control may cost a node. */
-const BYTES_PER_SECOND = 5000;
+const CONTROL_BYTES_PER_SECOND = 5000;
 const CONNECTIONS = 8;
 
 const HEARTBEAT: PeerMessage = {
@@ -63,7 +63,9 @@
   describe("size", () => {
     it("keeps heartbeats of all connections far below the allowance", () => {
       const { length } = encodePeerMessage(HEARTBEAT);
-      expect(2 * CONNECTIONS * length).toBeLessThan(BYTES_PER_SECOND / 2);
+      expect(2 * CONNECTIONS * length).toBeLessThan(
+        CONTROL_BYTES_PER_SECOND / 2,
+      );
     });
   });
 
--- a/packages/schema/test/settings.test.ts
+++ b/packages/schema/test/settings.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from "vitest";
 import { describeSettingsFault, parseSettings } from "../src/index.ts";
 
-const GOOD = `[node]
+const VALID = `[node]
 name = node-1
 data-centre = dc-1
 public-address = 127.0.0.1:7001
@@ -25,12 +25,12 @@
 describe("parseSettings", () => {
   describe("a whole file", () => {
     it("fills in every default", () => {
-      const settings = parseSettings("node.ini", GOOD);
+      const settings = parseSettings("node.ini", VALID);
       expect(settings.isOk && settings.value.timing["lease-term"]).toBe(6000);
     });
 
     it("reads units, so that 2m is not taken for 2 ms", () => {
-      const text = `${GOOD}[timing]\nstop-bound = 2m\n`;
+      const text = `${VALID}[timing]\nstop-bound = 2m\n`;
       const settings = parseSettings("node.ini", text);
       expect(settings.isOk && settings.value.timing["stop-bound"])
         .toBe(120_000);
@@ -39,26 +39,26 @@
 
   describe("faults", () => {
     it("refuses an unknown key, which may be a misspelt one", () => {
-      expect(findFaults(`${GOOD}[timing]\nlease-therm = 6s\n`)).toEqual([
+      expect(findFaults(`${VALID}[timing]\nlease-therm = 6s\n`)).toEqual([
         "node.ini:14: [timing] lease-therm: unknown key",
       ]);
     });
 
     it("refuses an unknown section", () => {
-      expect(findFaults(`${GOOD}[timings]\nlease-term = 6s\n`)).toEqual([
+      expect(findFaults(`${VALID}[timings]\nlease-term = 6s\n`)).toEqual([
         "node.ini:13: [timings]: unknown section",
       ]);
     });
 
     it("refuses a duration without its unit", () => {
-      expect(findFaults(`${GOOD}[timing]\nlease-term = 6\n`)).toEqual([
+      expect(findFaults(`${VALID}[timing]\nlease-term = 6\n`)).toEqual([
         "node.ini:14: [timing] lease-term: expected a duration with its " +
         "unit, such as 750ms, 5s, 2m or 1h",
       ]);
     });
 
     it("refuses a host name where an IP literal is needed", () => {
-      const text = GOOD.replace("127.0.0.1:7301", "log.example:7301");
+      const text = VALID.replace("127.0.0.1:7301", "log.example:7301");
       expect(findFaults(text)).toEqual([
         "node.ini:10: [platform] log: expected an IP literal with a port, " +
         "such as 127.0.0.1:8080",
@@ -66,21 +66,21 @@
     });
 
     it("names a value that is missing", () => {
-      const text = GOOD.replace("name = node-1\n", "");
+      const text = VALID.replace("name = node-1\n", "");
       expect(findFaults(text)).toEqual([
         "node.ini:1: [node] name: missing; expected a value",
       ]);
     });
 
     it("refuses a key that is given twice", () => {
-      const text = GOOD.replace("[platform]", "name = node-2\n[platform]");
+      const text = VALID.replace("[platform]", "name = node-2\n[platform]");
       expect(findFaults(text)).toEqual([
         "node.ini:9: [node] name: given twice",
       ]);
     });
 
     it("does not repeat a secret that is too short", () => {
-      const text = GOOD.replace(
+      const text = VALID.replace(
         "admin-token = 0123456789abcdef",
         "admin-token = hunter2",
       );
