--- a/packages/kernel/src/bounded-sink.ts
+++ b/packages/kernel/src/bounded-sink.ts
@@ -1,5 +1,5 @@
 /**
- * Lines for standard output that never hold a process up.
+ * A writable stream to a file descriptor that never blocks the process.
  *
  * @module
  */
@@ -7,14 +7,14 @@
 import { write } from "node:fs";
 import { Writable } from "node:stream";
 
-/** Lines beyond this size are dropped while the reader does not read. */
+/** Lines over this buffer size are dropped while the reader stalls. */
 const MAX_PENDING_BYTES = 512 * 1024;
 const RETRY_MS = 50;
 const TEXT_ENCODING = "utf8";
 
 /**
- * Writes to a file descriptor in the background, one write at a time. What a
- * stalled reader leaves over the limit is dropped and counted.
+ * Writes lines to a file descriptor in the background, one write at a time.
+ * Lines that would exceed the buffer limit are dropped and counted.
  */
 export class BoundedSink extends Writable {
   #descriptor: number;
@@ -30,7 +30,7 @@
     this.#maxBytes = maxBytes;
   }
 
-  /** Lines that were dropped so far. */
+  /** The number of lines dropped so far. */
   get droppedLines(): number {
     return this.#droppedLines;
   }
@@ -76,7 +76,7 @@
     });
   }
 
-  /** A full pipe is tried again; a closed one takes nothing any more. */
+  /** Retries when the pipe is full; drops the bytes when it is closed. */
   #onFailure(failure: NodeJS.ErrnoException, bytes: Buffer): void {
     if (failure.code === "EAGAIN") {
       setTimeout(() => this.#writeAll(bytes), RETRY_MS).unref();
--- a/packages/kernel/src/clock.ts
+++ b/packages/kernel/src/clock.ts
@@ -36,7 +36,7 @@
   }
 }
 
-/** Waits on a clock's scheduled callback, or rejects when aborted first. */
+/** Sleeps by a callback scheduled on a clock; rejects if aborted first. */
 export function sleepUsing(
   clock: Pick<Clock, "schedule">,
   ms: number,
--- a/packages/kernel/src/condition.ts
+++ b/packages/kernel/src/condition.ts
@@ -1,10 +1,10 @@
 /**
- * A condition that tasks wait on until another task changes something.
+ * A condition variable for async tasks.
  *
  * @module
  */
 
-/** Wakes every waiting task when notified. */
+/** Lets tasks wait until another task notifies them of a change. */
 export class Condition {
   #waiters = new Set<() => void>();
 
--- a/packages/kernel/src/deadline.ts
+++ b/packages/kernel/src/deadline.ts
@@ -5,7 +5,7 @@
  */
 import type { Clock } from "./clock.ts";
 
-/** A wait took longer than it may. */
+/** A wait exceeded its deadline. */
 export class DeadlineError extends Error {
   override name = "DeadlineError";
 }
--- a/packages/kernel/src/kernel.ts
+++ b/packages/kernel/src/kernel.ts
@@ -5,12 +5,12 @@
  */
 import type { Service } from "./service.ts";
 
-/** A mistake in how services are provided or found. */
+/** A service is missing, provided twice or in a circular dependency. */
 export class KernelError extends Error {
   override name = "KernelError";
 }
 
-/** How one service is created, and the names that must exist before it. */
+/** How one service is created, and the services that it depends on. */
 export interface Provider<Directory, Name extends keyof Directory> {
   readonly dependencies: readonly (keyof Directory & string)[];
   readonly create: (kernel: Kernel<Directory>) => Directory[Name];
@@ -19,8 +19,8 @@
 type AnyProvider<Directory> = Provider<Directory, keyof Directory>;
 
 /**
- * Holds services by name, starts them in order of need and stops them in
- * reverse. `Directory` maps each service name to its type.
+ * Holds services by name, starts them in dependency order and stops them in
+ * reverse order. `Directory` maps each service name to its type.
  */
 export class Kernel<Directory> {
   #providers = new Map<keyof Directory & string, AnyProvider<Directory>>();
@@ -34,13 +34,13 @@
     create: (kernel: Kernel<Directory>) => Directory[Name],
   ): this {
     if (this.#providers.has(name)) {
-      throw new KernelError(`service "${name}" is provided twice`);
+      throw new KernelError(`service "${name}" is already provided`);
     }
     this.#providers.set(name, { dependencies, create });
     return this;
   }
 
-  /** Returns the service of that name; fails when it does not exist yet. */
+  /** Returns the service of that name; throws if it does not exist yet. */
   find<Name extends keyof Directory & string>(name: Name): Directory[Name] {
     const service = this.#services.get(name);
     if (service === undefined) {
@@ -49,7 +49,7 @@
     return service as Directory[Name];
   }
 
-  /** Creates every service in order of need, then starts each one. */
+  /** Creates every service in dependency order, then starts each one. */
   async start(): Promise<void> {
     const order = this.#sortByDependency();
     for (const name of order) {
@@ -62,7 +62,7 @@
     }
   }
 
-  /** Stops started services in reverse order; one failure stops no other. */
+  /** Stops started services in reverse order, even if some fail to stop. */
   async stop(): Promise<void> {
     const failures: unknown[] = [];
     for (const name of this.#started.splice(0).reverse()) {
@@ -97,7 +97,7 @@
       }
       const chain = [...path, name];
       if (visiting.has(name)) {
-        throw new KernelError(`services need each other: ${chain.join(" > ")}`);
+        throw new KernelError(`circular dependency: ${chain.join(" > ")}`);
       }
       const provider = this.#providers.get(name);
       if (provider === undefined) {
--- a/packages/kernel/src/logger.ts
+++ b/packages/kernel/src/logger.ts
@@ -1,5 +1,5 @@
 /**
- * Logs: one line of key=value pairs for each event.
+ * Structured logs: one line of key=value pairs for each event.
  *
  * @module
  */
@@ -18,7 +18,7 @@
 /** Severity of an event, in the order of `winston`. */
 export type Level = "error" | "warn" | "info" | "debug";
 
-/** Writes events. */
+/** Logs events by severity. */
 export interface Logger {
   error(event: string, fields?: Fields): void;
   warn(event: string, fields?: Fields): void;
@@ -26,19 +26,19 @@
   debug(event: string, fields?: Fields): void;
 }
 
-/** Where and what a `LineLogger` writes. */
+/** Options of a `LineLogger`. */
 export interface LoggerOptions {
   readonly level: Level | "silent";
-  /** Pairs that are put on every line, such as the node's name. */
+  /** Fields that are added to every line, such as the node's name. */
   readonly fields: Fields;
-  /** Where lines go; the standard output stream if it is left out. */
+  /** Where lines go; standard output by default. */
   readonly sink?: BoundedSink;
   readonly clock?: Clock;
 }
 
 const UNQUOTED_VALUE = /^[A-Za-z0-9_.:\/@+-]+$/;
 
-/** Formats one value; quotes it where a reader could not split the line. */
+/** Formats one value; quotes it if it could break the parsing of a line. */
 export function formatValue(value: FieldValue): string {
   const text = String(value);
   return UNQUOTED_VALUE.test(text) ? text : JSON.stringify(text);
@@ -65,13 +65,13 @@
 }
 
 const STDOUT_DESCRIPTOR = 1;
-/** Lines of one event in an interval; the others are only counted. */
+/** Lines of one event in an interval; further lines are only counted. */
 const MAX_LINES_PER_INTERVAL = 300;
 const INTERVAL_MS = 1000;
 
 /**
- * A logger that writes lines to the standard output stream. The volume of each
- * event is bounded, and what is left out is counted and said.
+ * A logger that writes lines to standard output. It limits the lines of each
+ * event and logs how many were left out.
  */
 export class LineLogger implements Logger {
   #logger: winston.Logger;
@@ -132,7 +132,7 @@
     this.#log(level, event, fields);
   }
 
-  /** Says at the end of an interval which lines were left out. */
+  /** Logs at the end of an interval how many lines were left out. */
   #endIntervalIfDue(): void {
     const now = this.#clock.now();
     if (now < this.#intervalEndsAt) {
--- a/packages/kernel/src/manual-clock.ts
+++ b/packages/kernel/src/manual-clock.ts
@@ -1,5 +1,5 @@
 /**
- * A clock that moves only when told to, for tests and measurements.
+ * A clock that advances only on request, for tests and measurements.
  *
  * @module
  */
@@ -11,10 +11,10 @@
   readonly callback: () => void;
 }
 
-/** Microtask turns given to tasks between two timers. */
+/** Microtask turns in which tasks run between two timers. */
 const SETTLE_TURNS = 20;
 
-/** A clock under the control of its owner. */
+/** A clock whose time only `advance` moves. */
 export class ManualClock implements Clock {
   #now = 0;
   #sequence = 0;
@@ -42,7 +42,7 @@
     return () => this.#timers.delete(timer);
   }
 
-  /** Moves time forward, running due timers in order. */
+  /** Moves time forward and runs due timers in order. */
   async advance(ms: number): Promise<void> {
     const end = this.#now + ms;
     await settle();
--- a/packages/kernel/src/random.ts
+++ b/packages/kernel/src/random.ts
@@ -22,7 +22,7 @@
 const WORD_LIMIT = 0x10000;
 const WORD_DIGITS = 4;
 
-/** A seeded generator; without a seed, it is seeded by the system. */
+/** A seeded generator; the operating system supplies a missing seed. */
 export class SeededRandom implements Random {
   #generator: ReturnType<typeof xoroshiro128plus>;
 
@@ -47,7 +47,7 @@
   }
 }
 
-/** Random numbers of the system, with ids that two processes never share. */
+/** Takes ids from the operating system, so that no two processes share one. */
 export class SystemRandom extends SeededRandom {
   override id(): string {
     return randomBytes(8).toString("hex");
--- a/packages/kernel/src/service.ts
+++ b/packages/kernel/src/service.ts
@@ -1,8 +1,8 @@
-/** What the kernel asks of every service. */
+/** The lifecycle of a service; each method is optional. */
 export interface Service {
-  /** Begins the service's tasks; called once, after its needs have started. */
+  /** Starts the service's tasks; called once, after its dependencies' start. */
   start?(): Promise<void> | void;
-  /** Ends the service's tasks; called once, before its needs stop. */
+  /** Stops the service's tasks; called once, before its dependencies' stop. */
   stop?(): Promise<void> | void;
   /** Returns the service's state for the process's state dump. */
   dump?(): unknown;
--- a/packages/kernel/src/tasks.ts
+++ b/packages/kernel/src/tasks.ts
@@ -7,12 +7,12 @@
 import type { Clock } from "./clock.ts";
 import type { Logger } from "./logger.ts";
 
-/** The reason given to tasks when their owner stops. */
+/** The abort reason of tasks whose owner stops. */
 export class StoppedError extends Error {
   override name = "StoppedError";
 }
 
-/** The body of a task: reads from top to bottom until its signal aborts. */
+/** The body of a task: sequential code that runs until its signal aborts. */
 export type TaskBody = (signal: AbortSignal) => Promise<void>;
 
 /** The tasks of one service; they end together. */
@@ -25,8 +25,8 @@
   constructor(clock: Clock, logger: Logger) {
     this.#clock = clock;
     this.#logger = logger;
-    // Every wait of every task listens on this signal, so no count of
-    // listeners is a sign of a leak.
+    // Every wait of every task listens to this signal, so many listeners are
+    // no sign of a leak.
     setMaxListeners(0, this.#controller.signal);
   }
 
@@ -61,7 +61,7 @@
 
   /** Aborts every task and waits until all have ended. */
   async stop(): Promise<void> {
-    this.#controller.abort(new StoppedError("the service stops"));
+    this.#controller.abort(new StoppedError("the service is stopping"));
     await Promise.allSettled([...this.#tasks]);
   }
 
@@ -79,7 +79,7 @@
   }
 }
 
-/** Describes anything that was thrown in one line of text. */
+/** Describes any thrown value in one line of text. */
 export function describeError(failure: unknown): string {
   return failure instanceof Error
     ? `${failure.name}: ${failure.message}`
--- a/packages/kernel/test/kernel.test.ts
+++ b/packages/kernel/test/kernel.test.ts
@@ -30,7 +30,7 @@
 
 describe("Kernel", () => {
   describe("start and stop", () => {
-    it("starts a service after its needs and stops it before them", async () => {
+    it("starts a service after its dependencies and stops it before them", async () => {
       const events: string[] = [];
       const kernel = new Kernel<Directory>()
         .provide("second", ["first"], () => new Recorder("second", events))
@@ -46,7 +46,7 @@
     });
   });
 
-  describe("mistakes in provisions", () => {
+  describe("invalid providers", () => {
     it("refuses a name that is provided twice", () => {
       const kernel = new Kernel<Directory>()
         .provide("first", [], () => new Recorder("first", []));
@@ -54,7 +54,7 @@
         .toThrow(KernelError);
     });
 
-    it("refuses to start when a needed service is missing", async () => {
+    it("refuses to start when a dependency is missing", async () => {
       const kernel = new Kernel<Directory>()
         .provide("second", ["first"], () => new Recorder("second", []));
       await expect(kernel.start()).rejects.toThrow(
@@ -62,11 +62,13 @@
       );
     });
 
-    it("refuses to start when services need each other", async () => {
+    it("refuses to start on a circular dependency", async () => {
       const kernel = new Kernel<Directory>()
         .provide("first", ["second"], () => new Recorder("first", []))
         .provide("second", ["first"], () => new Recorder("second", []));
-      await expect(kernel.start()).rejects.toThrow("need each other");
+      await expect(kernel.start()).rejects.toThrow(
+        "circular dependency: first > second > first",
+      );
     });
   });
 
--- a/packages/kernel/test/logger.test.ts
+++ b/packages/kernel/test/logger.test.ts
@@ -30,7 +30,7 @@
 
 describe("LineLogger", () => {
   describe("volume", () => {
-    it("leaves out lines of one event beyond the bound and says how many", async () => {
+    it("leaves out lines of one event over the limit and logs how many", async () => {
       const file = join(folder, "log");
       const descriptor = openSync(file, "w");
       const clock = new ManualClock();
@@ -61,10 +61,10 @@
   });
 
   describe("a reader that stalls", () => {
-    it("does not hold the process up", async () => {
+    it("does not block the process", async () => {
       const pipe = join(folder, "pipe");
       spawnSync("mkfifo", [pipe]);
-      // Opened for both directions, so that nothing reads and nothing blocks.
+      // Opening for reading and writing does not block, and nothing reads.
       const descriptor = openSync(pipe, "r+");
       const sink = new BoundedSink(descriptor, 100_000);
       const clock = new SystemClock();
@@ -75,7 +75,7 @@
       expect(clock.now() - startedAt).toBeLessThan(2000);
       await waitForWrites();
       expect(sink.droppedLines).toBeGreaterThan(5000);
-      // Reading the pipe lets the write that still waits end.
+      // Reading the pipe completes the pending write.
       const drain = spawnSync("head", ["-c", "60000", pipe]);
       expect(drain.stdout.length).toBeGreaterThan(0);
       await waitForWrites();
--- a/packages/schema/src/chat.ts
+++ b/packages/schema/src/chat.ts
@@ -1,14 +1,14 @@
 /**
- * The chat completions format, as far as the system reads it.
+ * The fields of the chat completions format that the system uses.
  *
  * @module
  */
 import * as z from "zod";
 import { ChatMessage } from "./upstream.ts";
 
-/** Most tokens that one request may ask for. */
+/** Maximum number of tokens that one request may ask for. */
 export const MAX_TOKENS_LIMIT = 32_768;
-/** Tokens that a request gets when it does not say. */
+/** Token limit of a request that states none. */
 export const DEFAULT_MAX_TOKENS = 256;
 
 const TokenLimit = z.number().int().min(1).max(MAX_TOKENS_LIMIT);
@@ -27,7 +27,7 @@
 /** Body of `POST /v1/chat/completions`. */
 export type ChatRequest = z.infer<typeof ChatRequest>;
 
-/** One streamed piece of an answer. */
+/** One chunk of a streamed answer. */
 export const ChatChunk = z.object({
   id: z.string(),
   object: z.literal("chat.completion.chunk"),
@@ -42,14 +42,14 @@
     finish_reason: z.string().nullable(),
   })),
 });
-/** One streamed piece of an answer. */
+/** One chunk of a streamed answer. */
 export type ChatChunk = z.infer<typeof ChatChunk>;
 
-/** Answer to a caller that asks which address to use. */
+/** Reply to a caller that looks up which address to use. */
 export const LookupReply = z.object({
   address: z.string(),
   dataCentre: z.string(),
   validMs: z.number(),
 });
-/** Answer to a caller that asks which address to use. */
+/** Reply to a caller that looks up which address to use. */
 export type LookupReply = z.infer<typeof LookupReply>;
--- a/packages/schema/src/log.ts
+++ b/packages/schema/src/log.ts
@@ -1,5 +1,5 @@
 /**
- * The log service's interface.
+ * Replies of the log service.
  *
  * @module
  */
--- a/packages/schema/src/peer.ts
+++ b/packages/schema/src/peer.ts
@@ -25,11 +25,11 @@
   peerAddress: z.string(),
 });
 
-/** A node's place in the tree along which totals travel; see `PeerTree`. */
+/** A node's position in the tree that carries usage totals; see `PeerTree`. */
 export const TreePositionTuple = z.tuple([
   /** Root. */
   z.string(),
-  /** Wave of the root. */
+  /** Sequence number that the root raises. */
   z.number().int(),
   /** Depth. */
   z.number().int(),
@@ -48,13 +48,13 @@
   /** Requests in flight as a share of the node's capacity. */
   load: z.number(),
   stopping: z.boolean(),
-  /** Present when not every node is connected to every other one. */
+  /** Present unless every node is connected to every other node. */
   tree: TreePositionTuple.optional(),
 });
 /** Sent at a fixed interval in both directions. */
 export type HeartbeatMessage = z.infer<typeof HeartbeatMessage>;
 
-/** Changes of what a node has seen of hosts. */
+/** Changes in a node's observations of hosts. */
 export const EvidenceMessage = z.object({
   kind: z.literal("evidence"),
   hosts: z.array(z.object({
@@ -74,14 +74,14 @@
     requests: z.number(),
     tokens: z.number(),
     streams: z.number().int(),
-    /** Nodes that have these streams; one if it is missing. */
+    /** Number of nodes that have these streams; 1 if missing. */
     users: z.number().int().optional(),
   })),
 });
 
 /**
  * What client accounts used on the sender's side of a connection since its last
- * message. Tuples halve the size of an account against named fields.
+ * message. As a tuple, an account takes half the bytes of named fields.
  */
 export const UsageTotalMessage = z.object({
   kind: z.literal("usage-total"),
@@ -92,9 +92,9 @@
     z.number(),
     /** Tokens. */
     z.number(),
-    /** Streams that run now. */
+    /** Number of running streams. */
     z.number().int(),
-    /** Nodes that have these streams. */
+    /** Number of nodes that have these streams. */
     z.number().int(),
   ])),
 });
@@ -111,15 +111,15 @@
 });
 
 /**
- * A message that nodes pass on to their peers, so that it also reaches nodes
- * that have no connection to its origin.
+ * A message that nodes forward to their peers, so that it also reaches nodes
+ * without a connection to its origin.
  */
 export const RelayedMessage = z.object({
   kind: z.literal("relayed"),
   origin: z.string(),
   /** Id of the origin's process. */
   instance: z.string(),
-  /** Rises by one with each message of the origin's process. */
+  /** Increases by one with each message of the origin's process. */
   sequence: z.number().int().min(1),
   message: EvidenceMessage,
 });
@@ -162,7 +162,7 @@
   try {
     value = packr.unpack(bytes);
   } catch {
-    return Result.err("the bytes are not msgpack");
+    return Result.err("the message is not valid MessagePack");
   }
   const parsed = PeerMessage.safeParse(value);
   return parsed.success
--- a/packages/schema/src/records.ts
+++ b/packages/schema/src/records.ts
@@ -1,5 +1,5 @@
 /**
- * Records that the system keeps in the platform's log.
+ * Records in the streams of the platform's log.
  *
  * @module
  */
@@ -13,7 +13,7 @@
 const FencedHeader = { ...RecordHeader, scope: z.string(), fence: Offset };
 const GroupHeader = { ...FencedHeader, group: z.string() };
 
-/** A new text of the rules, made from version `basis`. */
+/** A new text of the rules, edited from version `basis`. */
 export const ConfigurationRecord = z.object({
   ...RecordHeader,
   kind: z.literal("configuration"),
@@ -30,7 +30,7 @@
   basis: Offset,
 });
 
-/** Hosts that are to form a group; the first one is the lead. */
+/** The hosts that will form a group; the first one is the lead. */
 export const GroupAssignedRecord = z.object({
   ...GroupHeader,
   kind: z.literal("group-assigned"),
@@ -39,11 +39,11 @@
   hosts: z.array(z.string()).min(1),
   fabricDomain: z.string(),
   dataCentre: z.string(),
-  /** The group that this one is to replace. */
+  /** The group that this one will replace. */
   replaces: z.string().optional(),
 });
 
-/** The holder begins to order the group's hosts to load. */
+/** The holder starts to order the group's hosts to load the model. */
 export const GroupLoadingRecord = z.object({
   ...GroupHeader,
   kind: z.literal("group-loading"),
@@ -75,7 +75,7 @@
   host: z.string(),
 });
 
-/** An operator takes a host out of service, or gives it back. */
+/** An operator takes a host out of service or returns it to service. */
 export const HostDrainedRecord = z.object({
   ...RecordHeader,
   kind: z.literal("host-drained"),
@@ -84,7 +84,7 @@
   author: z.string(),
 });
 
-/** States of a group, in the order of its life. */
+/** Phases of a group, in lifecycle order. */
 export const GroupPhase = z.enum([
   "assigned",
   "loading",
@@ -92,7 +92,7 @@
   "draining",
   "retired",
 ]);
-/** States of a group, in the order of its life. */
+/** Phases of a group, in lifecycle order. */
 export type GroupPhase = z.infer<typeof GroupPhase>;
 
 /** The configuration in force. */
@@ -130,20 +130,20 @@
   fabricDomain: z.string(),
   dataCentre: z.string(),
   replaces: z.string().optional(),
-  /** Fencing number under which the last step was taken. */
+  /** Fencing number of the record that set the phase. */
   fence: Offset,
-  /** Offset of the record of the last step. */
+  /** Offset of the record that set the phase. */
   since: Offset,
 });
 /** A group that is not retired. */
 export type GroupState = z.infer<typeof GroupState>;
 
-/** How one record was decided, so that a repeat with its id changes nothing. */
+/** Whether the record with an id was accepted; a repeat of it has no effect. */
 export const RecordDecision = z.object({
   id: z.string(),
   accepted: z.boolean(),
 });
-/** How one record was decided, so that a repeat with its id changes nothing. */
+/** Whether the record with an id was accepted; a repeat of it has no effect. */
 export type RecordDecision = z.infer<typeof RecordDecision>;
 
 /** The state that all readers of the control stream agree on. */
@@ -166,7 +166,7 @@
 /** The state that all readers of the control stream agree on. */
 export type ControlSnapshot = z.infer<typeof ControlSnapshot>;
 
-/** The state as of an earlier offset, for readers with none. */
+/** A snapshot of the state, for readers that start without any. */
 export const CheckpointRecord = z.object({
   ...RecordHeader,
   kind: z.literal("checkpoint"),
@@ -204,7 +204,7 @@
   bodyHash: z.string(),
 });
 
-/** How a non-idempotent call ended. */
+/** The outcome of a non-idempotent call. */
 export const OutcomeRecord = z.object({
   ...RecordHeader,
   kind: z.literal("outcome"),
--- a/packages/schema/src/rules.ts
+++ b/packages/schema/src/rules.ts
@@ -1,5 +1,5 @@
 /**
- * The rules file: one rule a line, each with a comment on who asked for it.
+ * The rules file: one rule per line, with a comment on who asked for it.
  *
  * @module
  */
@@ -18,7 +18,7 @@
   Rate,
 } from "./values.ts";
 
-/** The target, floor and worth of one rank. */
+/** The latency targets, floor, worth and retry share of one rank. */
 export const RankRule = z.strictObject({
   name: Rank,
   "first-token": Duration,
@@ -27,10 +27,10 @@
   worth: PositiveNumber,
   retries: Percentage.default(0.1),
 });
-/** The target, floor and worth of one rank. */
+/** The latency targets, floor, worth and retry share of one rank. */
 export type RankRule = z.infer<typeof RankRule>;
 
-/** A model and the groups that serve it. */
+/** A model, the size of its groups and how many groups serve it. */
 export const ModelRule = z.strictObject({
   name: Name,
   version: Name,
@@ -39,7 +39,7 @@
   spares: Count.default(0),
   adapters: createListSchema(Name).optional(),
 });
-/** A model and the groups that serve it. */
+/** A model, the size of its groups and how many groups serve it. */
 export type ModelRule = z.infer<typeof ModelRule>;
 
 const KeyHash = z.string().regex(
@@ -60,7 +60,7 @@
 /** A client account, its API key and its limits over all nodes. */
 export type AccountRule = z.infer<typeof AccountRule>;
 
-/** A plain service and the methods that may be repeated. */
+/** A plain service and the methods that are safe to retry. */
 export const ServiceRule = z.strictObject({
   name: Name,
   upstreams: createListSchema(Address),
@@ -69,7 +69,7 @@
     "HEAD",
   ]),
 });
-/** A plain service and the methods that may be repeated. */
+/** A plain service and the methods that are safe to retry. */
 export type ServiceRule = z.infer<typeof ServiceRule>;
 
 /** Hosts whose engines check, or ignore, the fencing number of an order. */
@@ -80,12 +80,12 @@
 /** Hosts whose engines check, or ignore, the fencing number of an order. */
 export type FencingRule = z.infer<typeof FencingRule>;
 
-/** A host or fabric domain that goes for maintenance at a time. */
+/** The time at which a host or fabric domain goes down for maintenance. */
 export const MaintenanceRule = z.strictObject({
   name: Name,
   at: z.iso.datetime().transform((text) => Date.parse(text)),
 });
-/** A host or fabric domain that goes for maintenance at a time. */
+/** The time at which a host or fabric domain goes down for maintenance. */
 export type MaintenanceRule = z.infer<typeof MaintenanceRule>;
 
 const RULE_SCHEMAS = {
@@ -99,7 +99,7 @@
 
 type RuleKind = keyof typeof RULE_SCHEMAS;
 
-/** One rule as it was read, with its comment. */
+/** One parsed rule with its line number and comment. */
 export type RuleLine = {
   [Kind in RuleKind]: {
     readonly kind: Kind;
@@ -117,12 +117,12 @@
   readonly services: ReadonlyMap<string, ServiceRule>;
   /** Hosts whose engines ignore the fencing number. */
   readonly unfencedHosts: ReadonlySet<string>;
-  /** Planned times of going, by host or fabric domain. */
+  /** Start times of planned maintenance, by host or fabric domain. */
   readonly maintenance: ReadonlyMap<string, number>;
   readonly lines: readonly RuleLine[];
 }
 
-/** One mistake in a rules file. */
+/** One error in a rules file. */
 export interface RuleFault {
   readonly line: number;
   readonly message: string;
@@ -155,7 +155,7 @@
   },
 };
 
-/** Reads a rules file; reports every fault with its line number. */
+/** Parses a rules file; reports every fault with its line number. */
 export function parseRules(text: string): Result<Rules, RuleFault[]> {
   const faults: RuleFault[] = [];
   const lines: RuleLine[] = [];
@@ -230,7 +230,7 @@
     if (equals <= 0 || key === "name") {
       faults.push({ line, message: `expected key=value, found "${pair}"` });
     } else if (values.has(key)) {
-      faults.push({ line, message: `key "${key}" is given twice` });
+      faults.push({ line, message: `duplicate key "${key}"` });
     } else {
       values.set(key, pair.slice(equals + 1));
     }
@@ -251,7 +251,7 @@
     } else {
       faults.push({
         line,
-        message: `${key} is already given in line ${firstLine}`,
+        message: `${key} is already defined in line ${firstLine}`,
       });
     }
   }
@@ -263,7 +263,10 @@
   const sum = RANKS.reduce((total, rank) => total + ranks[rank].floor, 0);
   const last = lines.findLast(({ kind }) => kind === "rank");
   return sum > 1 && last
-    ? [{ line: last.line, message: "the floors of all ranks exceed 100%" }]
+    ? [{
+      line: last.line,
+      message: "the floors of all ranks add up to more than 100%",
+    }]
     : [];
 }
 
--- a/packages/schema/src/settings.ts
+++ b/packages/schema/src/settings.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of a node: an INI file that is checked before the node starts.
+ * Settings of a node: an INI file that is validated before the node starts.
  *
  * @module
  */
@@ -42,7 +42,7 @@
     "lookup-validity": Duration.default(5000),
     "stream-progress": Duration.default(2000),
     "call-deadline": Duration.default(10_000),
-    // Longer than the longest request, so that a planned stop cuts none.
+    // Longer than the longest request, so that a graceful shutdown cuts none.
     "stop-bound": Duration.default(2_700_000),
     "checkpoint-interval": Duration.default(60_000),
   }).prefault({}),
@@ -63,7 +63,7 @@
 /** All settings of a node, by section and key. */
 export type Settings = z.infer<typeof Settings>;
 
-/** One mistake in a settings file. */
+/** One error in a settings file. */
 export interface SettingsFault {
   readonly file: string;
   readonly line: number | undefined;
@@ -72,7 +72,7 @@
   readonly message: string;
 }
 
-/** Reads a settings file; reports every fault with its place. */
+/** Parses a settings file; reports every fault with its location. */
 export function parseSettings(
   file: string,
   text: string,
@@ -121,7 +121,7 @@
   return isMissing ? "missing; expected a value" : issue.message;
 }
 
-/** The INI library takes the last of two values, which hides a mistake. */
+/** The INI library keeps the last of two values, which would hide an error. */
 function findDuplicateKeys(file: string, text: string): SettingsFault[] {
   const seen = new Set<string>();
   const faults: SettingsFault[] = [];
@@ -135,7 +135,7 @@
     }
     const qualifiedKey = `${section} ${key}`;
     if (seen.has(qualifiedKey)) {
-      const message = "given twice";
+      const message = "duplicate key";
       faults.push({ file, line: index + 1, section, key, message });
     }
     seen.add(qualifiedKey);
--- a/packages/schema/src/upstream.ts
+++ b/packages/schema/src/upstream.ts
@@ -14,7 +14,7 @@
   fabricDomain: z.string(),
   accelerators: z.number().int(),
   state: z.enum(["live", "leaving"]),
-  /** ISO 8601 time at which a leaving host goes. */
+  /** ISO 8601 time at which a leaving host is removed. */
   leavesAt: z.string().optional(),
 });
 /** One host in the platform's host list. */
@@ -23,17 +23,17 @@
 /** The platform's list of live and leaving hosts. */
 export const HostListReply = z.object({ hosts: z.array(Host) });
 
-/** The weight store's answer to a host that wants to load. */
+/** The weight store's reply to a host that asks to load weights. */
 export const GrantReply = z.object({
   granted: z.boolean(),
   retryAfterMs: z.number(),
 });
-/** The weight store's answer to a host that wants to load. */
+/** The weight store's reply to a host that asks to load weights. */
 export type GrantReply = z.infer<typeof GrantReply>;
 
-/** What an engine is doing. */
+/** The current activity of an engine. */
 export const EngineRole = z.enum(["idle", "loading", "serving", "draining"]);
-/** What an engine is doing. */
+/** The current activity of an engine. */
 export type EngineRole = z.infer<typeof EngineRole>;
 
 /** An engine's report on itself. */
@@ -44,13 +44,13 @@
   model: z.string(),
   version: z.string(),
   fence: z.number(),
-  /** Place in the group; 0 is the lead. */
+  /** Position in the group; 0 is the lead. */
   rank: z.number().int(),
   running: z.number().int(),
   waiting: z.number().int(),
-  /** The engine's own clock when it measured its load. */
+  /** Time of the load measurement on the engine's own clock. */
   reportedAtMs: z.number(),
-  /** On the lead: milliseconds since each member was heard. */
+  /** On the lead: milliseconds since each member was last heard from. */
   members: z.record(z.string(), z.number()),
 });
 /** An engine's report on itself. */
--- a/packages/schema/src/values.ts
+++ b/packages/schema/src/values.ts
@@ -47,17 +47,17 @@
   return Number.parseFloat(text) * MS_PER_UNIT[unit];
 });
 
-/** A share such as `20%`, as a fraction of 1. */
+/** A percentage such as `20%`, as a fraction of 1. */
 export const Percentage = z.string().regex(
   /^\d+(\.\d+)?%$/,
-  "expected a share in per cent, such as 20%",
+  "expected a percentage, such as 20%",
 ).transform((text) => Number.parseFloat(text) / 100)
   .refine((fraction) => fraction <= 1, "expected at most 100%");
 
-/** A rate such as `50/s`, in units a second. */
+/** A rate such as `50/s`, in units per second. */
 export const Rate = z.string().regex(
   /^\d+(\.\d+)?\/s$/,
-  "expected a rate a second, such as 50/s",
+  "expected a rate per second, such as 50/s",
 ).transform((text) => Number.parseFloat(text));
 
 /** A whole number of at least 0, written in digits. */
@@ -70,7 +70,7 @@
   "expected a positive number",
 ).transform(Number).refine((number) => number > 0, "expected more than 0");
 
-/** A list separated by commas, of at least one item. */
+/** A comma-separated list of at least one item. */
 export function createListSchema<Item extends z.ZodType<unknown, string>>(
   item: Item,
 ) {
--- a/packages/schema/src/verdict.ts
+++ b/packages/schema/src/verdict.ts
@@ -44,7 +44,7 @@
 /** Why a request was refused. */
 export type RefusalCode = keyof typeof REFUSALS;
 
-/** What a caller is told about a request that was not answered. */
+/** The JSON response to a request that was not answered. */
 export interface RefusalBody {
   readonly error: {
     readonly code: RefusalCode;
@@ -59,7 +59,7 @@
   override name = "Refusal";
   readonly code: RefusalCode;
   readonly verdict: Verdict;
-  /** How long the caller should wait before it tries again. */
+  /** How long the caller should wait before it retries. */
   readonly retryAfterMs: number | undefined;
 
   constructor(
--- a/packages/schema/test/peer.test.ts
+++ b/packages/schema/test/peer.test.ts
@@ -8,7 +8,7 @@
   type PeerMessage,
 } from "../src/index.ts";
 
-/** Bytes a second that control may cost a node. */
+/** Bandwidth that control messages may use per node. */
 const CONTROL_BYTES_PER_SECOND = 5000;
 const CONNECTIONS = 8;
 
@@ -33,12 +33,12 @@
 
 describe("messages between nodes", () => {
   describe("codec", () => {
-    it("gives back what was encoded", () => {
+    it("decodes what was encoded", () => {
       const decoded = decodePeerMessage(encodePeerMessage(HEARTBEAT));
       expect(decoded.isOk && decoded.value).toEqual(HEARTBEAT);
     });
 
-    it("reports bytes that are not a message instead of failing", () => {
+    it("returns an error for bytes that are not a message", () => {
       const packr = new Packr({ useRecords: false });
       const broken = [
         new Uint8Array(0),
@@ -52,7 +52,7 @@
       }
     });
 
-    it("refuses a message over the limit before it is decoded", () => {
+    it("refuses a message over the size limit without decoding it", () => {
       const bytes = new Uint8Array(MAX_PEER_MESSAGE_BYTES + 1);
       expect(decodePeerMessage(bytes)).toMatchObject({
         error: "the message is too large",
@@ -61,7 +61,7 @@
   });
 
   describe("size", () => {
-    it("keeps heartbeats of all connections far below the allowance", () => {
+    it("keeps heartbeats of all connections under half of the bandwidth", () => {
       const { length } = encodePeerMessage(HEARTBEAT);
       expect(2 * CONNECTIONS * length).toBeLessThan(
         CONTROL_BYTES_PER_SECOND / 2,
--- a/packages/schema/test/rules.test.ts
+++ b/packages/schema/test/rules.test.ts
@@ -11,7 +11,7 @@
 }
 
 describe("parseRules", () => {
-  describe("whole files", () => {
+  describe("valid files", () => {
     it("keeps the comment of each rule", () => {
       const rules = parseRules(
         "model chat version=1 hosts=4 replicas=2 # asked by dispatch\n",
@@ -22,11 +22,11 @@
       });
     });
 
-    it("passes over blank lines and lines that are only a comment", () => {
+    it("skips blank lines and lines with only a comment", () => {
       expect(findFaults("", "  # heading", "")).toEqual([]);
     });
 
-    it("reads units of durations, shares and rates", () => {
+    it("parses the units of durations, percentages and rates", () => {
       const rules = parseRules(
         [
           "rank urgent first-token=0.75s floor=20% worth=10 # ops",
@@ -51,7 +51,7 @@
   });
 
   describe("faults", () => {
-    it("names the line of a rule without a comment", () => {
+    it("reports the line of a rule without a comment", () => {
       const faults = findFaults(
         "# heading",
         "model chat version=1 hosts=4 replicas=2",
@@ -62,7 +62,7 @@
       }]);
     });
 
-    it("refuses a comment that is empty", () => {
+    it("refuses an empty comment", () => {
       expect(findFaults("model chat version=1 hosts=4 replicas=2 #"))
         .toHaveLength(1);
     });
@@ -76,21 +76,21 @@
       expect(key?.message).toContain("spare");
     });
 
-    it("refuses a name that is given twice, with both lines", () => {
+    it("refuses a duplicate name and reports both lines", () => {
       const model = "model chat version=1 hosts=4 replicas=2 # ops";
       expect(findFaults(model, model)).toEqual([{
         line: 2,
-        message: "model chat is already given in line 1",
+        message: "model chat is already defined in line 1",
       }]);
     });
 
-    it("refuses floors that exceed the whole", () => {
+    it("refuses floors that add up to more than 100%", () => {
       const faults = findFaults(
         "rank urgent first-token=750ms floor=60% worth=10 # ops",
         "rank normal first-token=3s floor=50% worth=3 # ops",
       );
       expect(faults[0]?.message).toBe(
-        "the floors of all ranks exceed 100%",
+        "the floors of all ranks add up to more than 100%",
       );
     });
 
--- a/packages/schema/test/settings.test.ts
+++ b/packages/schema/test/settings.test.ts
@@ -23,13 +23,13 @@
 }
 
 describe("parseSettings", () => {
-  describe("a whole file", () => {
+  describe("a valid file", () => {
     it("fills in every default", () => {
       const settings = parseSettings("node.ini", VALID);
       expect(settings.isOk && settings.value.timing["lease-term"]).toBe(6000);
     });
 
-    it("reads units, so that 2m is not taken for 2 ms", () => {
+    it("reads the unit m as minutes, not as milliseconds", () => {
       const text = `${VALID}[timing]\nstop-bound = 2m\n`;
       const settings = parseSettings("node.ini", text);
       expect(settings.isOk && settings.value.timing["stop-bound"])
@@ -38,7 +38,7 @@
   });
 
   describe("faults", () => {
-    it("refuses an unknown key, which may be a misspelt one", () => {
+    it("refuses an unknown key, which may be a misspelled one", () => {
       expect(findFaults(`${VALID}[timing]\nlease-therm = 6s\n`)).toEqual([
         "node.ini:14: [timing] lease-therm: unknown key",
       ]);
@@ -65,17 +65,17 @@
       ]);
     });
 
-    it("names a value that is missing", () => {
+    it("reports the section and key of a missing value", () => {
       const text = VALID.replace("name = node-1\n", "");
       expect(findFaults(text)).toEqual([
         "node.ini:1: [node] name: missing; expected a value",
       ]);
     });
 
-    it("refuses a key that is given twice", () => {
+    it("refuses a duplicate key", () => {
       const text = VALID.replace("[platform]", "name = node-2\n[platform]");
       expect(findFaults(text)).toEqual([
-        "node.ini:9: [node] name: given twice",
+        "node.ini:9: [node] name: duplicate key",
       ]);
     });
 
