--- a/packages/policy/src/account-limits.ts
+++ b/packages/policy/src/account-limits.ts
@@ -1,5 +1,5 @@
 /**
- * Limits of a client account over all nodes together.
+ * Rate and stream limits of client accounts, shared by all nodes.
  *
  * @module
  */
@@ -7,26 +7,26 @@
 import { type AccountRule, Refusal } from "@zinniahill/schema";
 import { Result, Unit } from "true-myth";
 
-/** What one node's callers of an account used since its last report. */
+/** Usage of an account on one node since the node's last report. */
 export interface AccountUsage {
   readonly account: string;
   readonly requests: number;
   readonly tokens: number;
-  /** Streams that run at the time of the report. */
+  /** Streams that are open at the time of the report. */
   readonly streams: number;
-  /** Nodes that have these streams; one if it is missing. */
+  /** Number of nodes that have these streams; one if absent. */
   readonly users?: number | undefined;
 }
 
-interface Usage {
-  /** What may be used now; below 0 when nodes used more together. */
-  requests: number;
-  tokens: number;
+interface Bucket {
+  /** Available now; below 0 when the nodes together used too much. */
+  availableRequests: number;
+  availableTokens: number;
   refilledAt: number;
   streams: number;
-  /** Use since the last report. */
-  newRequests: number;
-  newTokens: number;
+  /** Usage since the last report. */
+  unreportedRequests: number;
+  unreportedTokens: number;
   /** Streams last reported to the peers. */
   reportedStreams: number;
 }
@@ -36,99 +36,105 @@
   readonly users: number;
 }
 
-interface PeerUsage {
+interface PeerReport {
   readonly sequence: number;
   readonly receivedAt: number;
   readonly streams: ReadonlyMap<string, PeerStreams>;
 }
 
-/** Requests and tokens may be saved up for this long. */
+/** A full bucket holds the requests and tokens of this much time. */
 const BURST_MS = 1000;
-/** Parts that free streams are divided into when other nodes live. */
-const MIN_PARTS = 2;
-/** A peer without a report for this long counts as lost. */
-const PEER_VALIDITY_MS = 4000;
+/** Least number of parts of the free streams while there are live peers. */
+const MIN_STREAM_PARTS = 2;
+/** A peer that has not reported for this long counts as lost. */
+const PEER_TIMEOUT_MS = 4000;
 
 /**
- * A bucket for each active account, refilled at the account's full rate and
- * charged with the use of this node at once and of peers when they report it.
- * Buckets may go below zero, so excess is paid back: over any time t, n nodes
- * together use at most rate * t + n * rate * (burst + report interval + delay).
- * New streams between two reports are limited to a part of what is free: among
- * the nodes that have streams of the account, and at least two parts. So n nodes
- * that all start at the same moment reach at most n / 2 times the limit, until
- * the next report. Sides of a partition each apply the whole limit once their
- * peers count as lost.
+ * Keeps a token bucket for each active account, refilled at the account's full
+ * rate. A node charges its own usage at once and that of peers when they report
+ * it. Buckets may go below zero, so that excess usage is paid back: over any
+ * time t, n nodes together use at most
+ * rate * t + n * rate * (burst + report interval + delay).
+ *
+ * Between two reports, a node opens at most its part of the free streams. They
+ * are divided among the nodes that have streams of the account, into two parts
+ * at least. So n nodes that start at the same moment reach at most n / 2 times
+ * the limit until the next report. In a network partition, each side applies
+ * the whole limit once its peers count as lost.
  */
 export class AccountLimits {
   #clock: Clock;
   #countNodes: () => number;
-  #usage = new Map<string, Usage>();
-  #peers = new Map<string, PeerUsage>();
+  #buckets = new Map<string, Bucket>();
+  #peers = new Map<string, PeerReport>();
 
-  /** `countNodes` tells how many nodes live, this one included. */
+  /** `countNodes` returns the number of live nodes, this one included. */
   constructor(clock: Clock, countNodes: () => number) {
     this.#clock = clock;
     this.#countNodes = countNodes;
   }
 
-  /** The number of accounts that are remembered. */
+  /** The number of accounts that have a bucket. */
   get accountCount(): number {
-    return this.#usage.size;
+    return this.#buckets.size;
   }
 
-  /** Counts a request that begins, or says why it may not. */
+  /** Charges a request that begins, or refuses it. */
   begin(rule: AccountRule, tokens: number): Result<Unit, Refusal> {
-    const usage = this.#findUsage(rule);
-    const waitMs = this.#findWaitMs(rule, usage);
+    const bucket = this.#getBucket(rule);
+    const waitMs = this.#computeWaitMs(rule, bucket);
     if (waitMs > 0) {
       return Result.err(
         new Refusal(
           "account-limit",
           "not-run",
-          `client account ${rule.name} is at its limit`,
+          `client account ${rule.name} has reached its limit`,
           Math.ceil(waitMs),
         ),
       );
     }
-    usage.requests--;
-    usage.tokens -= tokens;
-    usage.newRequests++;
-    usage.newTokens += tokens;
-    usage.streams++;
+    bucket.availableRequests--;
+    bucket.availableTokens -= tokens;
+    bucket.unreportedRequests++;
+    bucket.unreportedTokens += tokens;
+    bucket.streams++;
     return Result.ok(Unit);
   }
 
-  /** Counts a request that ends, and replaces its estimate of tokens. */
+  /** Ends a request and replaces its token estimate by the real number. */
   end(account: string, estimate: number, tokens: number): void {
-    const usage = this.#usage.get(account);
-    if (usage !== undefined) {
-      usage.streams--;
-      usage.tokens += estimate - tokens;
-      usage.newTokens += tokens - estimate;
+    const bucket = this.#buckets.get(account);
+    if (bucket !== undefined) {
+      bucket.streams--;
+      bucket.availableTokens += estimate - tokens;
+      bucket.unreportedTokens += tokens - estimate;
     }
   }
 
-  /** The use since the last report; accounts that are idle are forgotten. */
+  /** Returns the usage since the last report and removes idle accounts. */
   takeReport(rules: ReadonlyMap<string, AccountRule>): AccountUsage[] {
     const report: AccountUsage[] = [];
-    for (const [account, usage] of this.#usage) {
+    for (const [account, bucket] of this.#buckets) {
       const rule = rules.get(account);
-      const { newRequests: requests, newTokens: tokens, streams } = usage;
+      const {
+        unreportedRequests: requests,
+        unreportedTokens: tokens,
+        streams,
+      } = bucket;
       if (requests !== 0 || tokens !== 0 || streams > 0) {
         report.push({ account, requests, tokens, streams });
       }
-      usage.newRequests = 0;
-      usage.newTokens = 0;
-      usage.reportedStreams = streams;
-      if (rule === undefined || this.#isIdle(rule, usage)) {
-        this.#usage.delete(account);
+      bucket.unreportedRequests = 0;
+      bucket.unreportedTokens = 0;
+      bucket.reportedStreams = streams;
+      if (rule === undefined || this.#isIdle(rule, bucket)) {
+        this.#buckets.delete(account);
       }
     }
     return report;
   }
 
-  /** Charges what a peer reports; a repeated report is ignored. */
+  /** Charges the usage that a peer reports; a repeated report is ignored. */
   applyReport(
     node: string,
     sequence: number,
@@ -143,9 +149,9 @@
     for (const { account, requests, tokens, ...running } of report) {
       const rule = rules.get(account);
       if (rule !== undefined) {
-        const usage = this.#findUsage(rule);
-        usage.requests -= requests;
-        usage.tokens -= tokens;
+        const bucket = this.#getBucket(rule);
+        bucket.availableRequests -= requests;
+        bucket.availableTokens -= tokens;
         const count = running.streams;
         const users = running.users ?? Math.min(1, count);
         streams.set(account, { count, users });
@@ -155,75 +161,78 @@
     this.#peers.set(node, { sequence, receivedAt, streams });
   }
 
-  #findUsage(rule: AccountRule): Usage {
+  #getBucket(rule: AccountRule): Bucket {
     const now = this.#clock.now();
-    let usage = this.#usage.get(rule.name);
-    if (usage === undefined) {
-      usage = {
-        requests: getBurst(rule.requests),
-        tokens: getBurst(rule.tokens),
+    let bucket = this.#buckets.get(rule.name);
+    if (bucket === undefined) {
+      bucket = {
+        availableRequests: computeBurst(rule.requests),
+        availableTokens: computeBurst(rule.tokens),
         refilledAt: now,
         streams: 0,
-        newRequests: 0,
-        newTokens: 0,
+        unreportedRequests: 0,
+        unreportedTokens: 0,
         reportedStreams: 0,
       };
-      this.#usage.set(rule.name, usage);
+      this.#buckets.set(rule.name, bucket);
     }
-    refill(rule, usage, now);
-    return usage;
+    refill(rule, bucket, now);
+    return bucket;
   }
 
-  #findWaitMs(rule: AccountRule, usage: Usage): number {
-    const requestWait = (1 - usage.requests) / rule.requests * 1000;
-    const tokenWait = (1 - usage.tokens) / rule.tokens * 1000;
-    const streamWait = this.#hasStream(rule, usage) ? 0 : BURST_MS;
+  #computeWaitMs(rule: AccountRule, bucket: Bucket): number {
+    const requestWait = (1 - bucket.availableRequests) / rule.requests * 1000;
+    const tokenWait = (1 - bucket.availableTokens) / rule.tokens * 1000;
+    const streamWait = this.#hasFreeStream(rule, bucket) ? 0 : BURST_MS;
     return Math.max(requestWait, tokenWait, streamWait);
   }
 
-  #hasStream(rule: AccountRule, usage: Usage): boolean {
-    let remote = 0;
+  #hasFreeStream(rule: AccountRule, bucket: Bucket): boolean {
+    let remoteStreams = 0;
     let users = 1;
     const now = this.#clock.now();
     for (const [node, peer] of this.#peers) {
-      if (now - peer.receivedAt > PEER_VALIDITY_MS) {
+      if (now - peer.receivedAt > PEER_TIMEOUT_MS) {
         this.#peers.delete(node);
         continue;
       }
       const running = peer.streams.get(rule.name);
       users += running?.users ?? 0;
-      remote += running?.count ?? 0;
+      remoteStreams += running?.count ?? 0;
     }
-    const free = rule.streams - remote - usage.reportedStreams;
-    // A peer without streams of the account may start some at the same time,
-    // so a node never takes all that is free unless it is alone.
-    const parts = Math.max(users, Math.min(MIN_PARTS, this.#countNodes()));
+    const free = rule.streams - remoteStreams - bucket.reportedStreams;
+    // A peer without streams of the account may open some at the same time, so
+    // a node takes all free streams only if it is alone.
+    const parts = Math.max(
+      users,
+      Math.min(MIN_STREAM_PARTS, this.#countNodes()),
+    );
     const growth = Math.ceil(Math.max(0, free) / parts);
-    const allowed = usage.reportedStreams + growth;
-    return usage.streams < allowed;
+    const allowed = bucket.reportedStreams + growth;
+    return bucket.streams < allowed;
   }
 
-  #isIdle(rule: AccountRule, usage: Usage): boolean {
-    refill(rule, usage, this.#clock.now());
-    return usage.streams === 0 &&
-      usage.requests >= getBurst(rule.requests) &&
-      usage.tokens >= getBurst(rule.tokens);
+  #isIdle(rule: AccountRule, bucket: Bucket): boolean {
+    refill(rule, bucket, this.#clock.now());
+    return bucket.streams === 0 &&
+      bucket.availableRequests >= computeBurst(rule.requests) &&
+      bucket.availableTokens >= computeBurst(rule.tokens);
   }
 }
 
-function getBurst(rate: number): number {
+function computeBurst(rate: number): number {
   return Math.max(1, rate * BURST_MS / 1000);
 }
 
-function refill(rule: AccountRule, usage: Usage, now: number): void {
-  const seconds = (now - usage.refilledAt) / 1000;
-  usage.refilledAt = now;
-  usage.requests = Math.min(
-    getBurst(rule.requests),
-    usage.requests + rule.requests * seconds,
+function refill(rule: AccountRule, bucket: Bucket, now: number): void {
+  const seconds = (now - bucket.refilledAt) / 1000;
+  bucket.refilledAt = now;
+  bucket.availableRequests = Math.min(
+    computeBurst(rule.requests),
+    bucket.availableRequests + rule.requests * seconds,
   );
-  usage.tokens = Math.min(
-    getBurst(rule.tokens),
-    usage.tokens + rule.tokens * seconds,
+  bucket.availableTokens = Math.min(
+    computeBurst(rule.tokens),
+    bucket.availableTokens + rule.tokens * seconds,
   );
 }
--- a/packages/policy/src/admission.ts
+++ b/packages/policy/src/admission.ts
@@ -1,5 +1,5 @@
 /**
- * Admission: which request goes next, and which is refused at once.
+ * Admission control: which request runs next, and which is refused at once.
  *
  * @module
  */
@@ -11,43 +11,44 @@
 import type { AdmissionRequest, Permit } from "./permit.ts";
 import { ServiceRates } from "./service-rates.ts";
 import {
-  createOverload,
+  createOverloadRefusal,
   createRankTable,
   type PermitState,
   type Waiter,
 } from "./waiter.ts";
 
-/** What admission depends on. */
+/** Dependencies of admission control. */
 export interface AdmissionOptions {
   readonly clock: Clock;
   readonly rules: () => Rules | undefined;
-  /** Requests that may be in flight. */
+  /** Returns how many requests may be in flight. */
   readonly capacity: () => number;
 }
 
 /**
- * Work never spreads quite evenly over the groups, and first tokens are late on
- * those with queues. In trials of the heaviest overloads, 10 of 30 runs missed
- * the urgent target at 0.95 and none at 0.92.
+ * Share of the capacity that is used. Load never spreads quite evenly, and a
+ * group with a queue delays first tokens: under the heaviest overloads, 10 of
+ * 30 runs missed the target of urgent requests at 0.95, and none at 0.92.
  */
-const USED_SHARE = 0.92;
+const CAPACITY_SHARE = 0.92;
 /**
- * Part of the target that is always left for waiting. Without it, slow first
- * tokens refuse every request, and no new sample can ever correct them.
+ * Share of the first-token target that a request may always wait. Without it,
+ * slow first tokens would cause every request to be refused, and no new sample
+ * could correct the estimate.
  */
 const MIN_WAIT_SHARE = 0.3;
-/** A request that was cancelled this often keeps its place until it ends. */
+/** A request that has yielded this often keeps its permit until it ends. */
 const MAX_YIELDS = 2;
 
 /** Admits requests by rank and by client account while capacity is free. */
 export class Admission {
   #options: AdmissionOptions;
   #queues = createRankTable(() => new FairQueue<Waiter>());
-  #waiting = createRankTable(() => new Set<Waiter>());
+  #waiters = createRankTable(() => new Set<Waiter>());
   #rates: ServiceRates;
   #inFlight = createRankTable(() => 0);
-  #running = new Set<PermitState>();
-  #firstTokens = new FirstTokenLatency();
+  #permits = new Set<PermitState>();
+  #firstTokenLatency = new FirstTokenLatency();
   #cancelExpiry: (() => void) | undefined;
 
   constructor(options: AdmissionOptions) {
@@ -55,7 +56,7 @@
     this.#rates = new ServiceRates(options.clock);
   }
 
-  /** The number of requests that hold a place. */
+  /** The number of requests that hold a permit. */
   get inFlight(): number {
     return RANKS.reduce((sum, rank) => sum + this.#inFlight[rank], 0);
   }
@@ -64,16 +65,16 @@
   get limit(): number {
     return Math.max(
       1,
-      Math.ceil(this.#options.capacity() * USED_SHARE),
+      Math.ceil(this.#options.capacity() * CAPACITY_SHARE),
     );
   }
 
-  /** The number of requests of a rank that wait. */
+  /** The number of waiting requests of a rank. */
   countWaiting(rank: Rank): number {
     return this.#queues[rank].size;
   }
 
-  /** Waits for a place; refuses at once when the wait would be too long. */
+  /** Waits for a permit; refuses at once when the wait would be too long. */
   admit(
     request: AdmissionRequest,
     signal: AbortSignal,
@@ -85,38 +86,42 @@
       ));
     }
     const weight = rules.accounts.get(request.account)?.weight ?? 1;
-    const target = rules.ranks[request.rank]["first-token"];
-    const budget = Math.max(
-      target * MIN_WAIT_SHARE,
-      target - this.#firstTokens.getTypicalMs(request.rank),
+    const targetMs = rules.ranks[request.rank]["first-token"];
+    const maxWaitMs = Math.max(
+      targetMs * MIN_WAIT_SHARE,
+      targetMs - this.#firstTokenLatency.estimateP99Ms(request.rank),
     );
-    const expected = this.#estimateWaitMs(request, weight, rules);
-    if (expected > budget) {
-      return Promise.resolve(Result.err(createOverload(
+    const expectedMs = this.#estimateWaitMs(request, weight, rules);
+    if (expectedMs > maxWaitMs) {
+      return Promise.resolve(Result.err(createOverloadRefusal(
         request.rank,
-        expected,
+        expectedMs,
         "not-run",
       )));
     }
-    return this.#wait(request, weight, budget, 0, signal);
+    return this.#enqueue(request, weight, maxWaitMs, 0, signal);
   }
 
-  #wait(
+  #enqueue(
     request: AdmissionRequest,
     weight: number,
-    budget: number,
-    yields: number,
+    maxWaitMs: number,
+    yieldCount: number,
     signal: AbortSignal,
   ): Promise<Result<Permit, Refusal>> {
     const { account, rank, tokens } = request;
-    const expiresAt = this.#options.clock.now() + budget;
-    const verdict = yields > 0 ? "may-have-run" : "not-run";
+    const expiresAt = this.#options.clock.now() + maxWaitMs;
+    const verdict = yieldCount > 0 ? "may-have-run" : "not-run";
     return new Promise((resolve) => {
       const onAbort = () => {
-        this.#remove(waiter);
+        this.#removeWaiter(waiter);
         settle(
           Result.err(
-            new Refusal("deadline", verdict, "the caller has gone"),
+            new Refusal(
+              "deadline",
+              verdict,
+              "the request was cancelled before it was admitted",
+            ),
           ),
         );
       };
@@ -130,7 +135,7 @@
         cost: tokens,
         weight,
         expiresAt,
-        yields,
+        yieldCount,
         settle,
         verdict,
       };
@@ -140,12 +145,12 @@
       }
       signal.addEventListener("abort", onAbort, { once: true });
       this.#queues[rank].add(waiter, weight);
-      this.#waiting[rank].add(waiter);
+      this.#waiters[rank].add(waiter);
       this.#admitWaiting();
     });
   }
 
-  /** The wait that a new request of an account has to expect. */
+  /** Estimates how long a new request of an account waits. */
   #estimateWaitMs(
     request: AdmissionRequest,
     weight: number,
@@ -156,8 +161,8 @@
     if (queue.size === 0 && this.inFlight < this.limit) {
       return 0;
     }
-    const ahead = queue.countTokensAhead(account, weight);
-    return (ahead + tokens) / this.#rates.getAttainable(rank, rules);
+    const tokensAhead = queue.countTokensAhead(account, weight);
+    return (tokensAhead + tokens) / this.#rates.getAttainableRate(rank, rules);
   }
 
   #admitWaiting(): void {
@@ -171,16 +176,21 @@
       if (rank === undefined) {
         break;
       }
-      if (this.inFlight >= limit && !this.#yieldPlace(rank, rules, limit)) {
+      if (
+        this.inFlight >= limit && !this.#revokeBatchPermit(rank, rules, limit)
+      ) {
         break;
       }
-      this.#start(this.#queues[rank].take()!, this.#isBelowFloor(rank, rules));
+      this.#grantPermit(
+        this.#queues[rank].take()!,
+        this.#isBelowFloor(rank, rules),
+      );
     }
     this.#rates.setFull(this.inFlight >= limit);
     this.#scheduleExpiry();
   }
 
-  /** A rank below its floor goes first; then the rank of the highest worth. */
+  /** A rank below its floor goes first, then the rank of the highest worth. */
   #findNextRank(rules: Rules): Rank | undefined {
     const waiting = RANKS.filter((rank) => this.#queues[rank].size > 0);
     const below = waiting.find((rank) => this.#isBelowFloor(rank, rules));
@@ -193,20 +203,20 @@
     );
   }
 
-  /** Takes the place of the youngest batch request above batch's floor. */
-  #yieldPlace(rank: Rank, rules: Rules, limit: number): boolean {
-    const kept = Math.ceil(rules.ranks.batch.floor * limit);
-    if (rank !== "urgent" || this.#inFlight.batch <= kept) {
+  /** Makes the latest batch request yield, while batch is above its floor. */
+  #revokeBatchPermit(rank: Rank, rules: Rules, limit: number): boolean {
+    const batchFloor = Math.ceil(rules.ranks.batch.floor * limit);
+    if (rank !== "urgent" || this.#inFlight.batch <= batchFloor) {
       return false;
     }
-    const place = [...this.#running].findLast(({ waiter, canYield }) =>
-      canYield && waiter.rank === "batch" && waiter.yields < MAX_YIELDS
+    const state = [...this.#permits].findLast(({ waiter, canYield }) =>
+      canYield && waiter.rank === "batch" && waiter.yieldCount < MAX_YIELDS
     );
-    if (place === undefined) {
+    if (state === undefined) {
       return false;
     }
-    this.#end(place);
-    place.yielding.abort();
+    this.#freePermit(state);
+    state.yieldController.abort();
     return true;
   }
 
@@ -215,49 +225,49 @@
     return this.#inFlight[rank] < floor;
   }
 
-  #start(waiter: Waiter, isBelowFloor: boolean): void {
+  #grantPermit(waiter: Waiter, isBelowFloor: boolean): void {
     const { rank } = waiter;
-    this.#waiting[rank].delete(waiter);
+    this.#waiters[rank].delete(waiter);
     this.#inFlight[rank]++;
-    this.#rates.noteDispatch(rank, waiter.cost);
-    const place: PermitState = {
+    this.#rates.recordDispatch(rank, waiter.cost);
+    const state: PermitState = {
       waiter,
       admittedAt: this.#options.clock.now(),
       priority: isBelowFloor ? 0 : RANKS.indexOf(rank),
-      yielding: new AbortController(),
+      yieldController: new AbortController(),
       isHeld: true,
       canYield: false,
       isReleased: false,
-      isFirstTokenSeen: false,
+      hasFirstToken: false,
     };
-    this.#running.add(place);
-    waiter.settle(Result.ok(this.#createPermit(place)));
+    this.#permits.add(state);
+    waiter.settle(Result.ok(this.#createPermit(state)));
   }
 
-  #createPermit(place: PermitState): Permit {
-    const { waiter } = place;
+  #createPermit(state: PermitState): Permit {
+    const { waiter } = state;
     return {
-      priority: place.priority,
+      priority: state.priority,
       get yieldSignal() {
-        place.canYield = true;
-        return place.yielding.signal;
+        state.canYield = true;
+        return state.yieldController.signal;
       },
-      resume: (signal) => this.#resume(place, signal),
+      resume: (signal) => this.#resume(state, signal),
       recordFirstToken: () => {
-        if (place.isHeld && !place.isFirstTokenSeen) {
-          place.isFirstTokenSeen = true;
-          const waited = this.#options.clock.now() - place.admittedAt;
-          this.#firstTokens.note(waiter.rank, waited);
+        if (state.isHeld && !state.hasFirstToken) {
+          state.hasFirstToken = true;
+          const latencyMs = this.#options.clock.now() - state.admittedAt;
+          this.#firstTokenLatency.record(waiter.rank, latencyMs);
         }
       },
       release: (tokens) => {
-        if (place.isHeld) {
-          this.#rates.noteRelease(waiter.cost);
-          this.#end(place);
+        if (state.isHeld) {
+          this.#rates.recordRelease(waiter.cost);
+          this.#freePermit(state);
           this.#admitWaiting();
         }
-        if (!place.isReleased) {
-          place.isReleased = true;
+        if (!state.isReleased) {
+          state.isReleased = true;
           this.#queues[waiter.rank].end(waiter, tokens);
         }
       },
@@ -265,57 +275,57 @@
   }
 
   #resume(
-    place: PermitState,
+    state: PermitState,
     signal: AbortSignal,
   ): Promise<Result<Permit, Refusal>> {
-    const { account, rank, cost, weight, yields } = place.waiter;
-    const budget = this.#options.rules()?.ranks[rank]["first-token"] ?? 0;
-    return this.#wait(
+    const { account, rank, cost, weight, yieldCount } = state.waiter;
+    const maxWaitMs = this.#options.rules()?.ranks[rank]["first-token"] ?? 0;
+    return this.#enqueue(
       { account, rank, tokens: cost },
       weight,
-      budget,
-      yields + 1,
+      maxWaitMs,
+      yieldCount + 1,
       signal,
     );
   }
 
-  #end(place: PermitState): void {
-    place.isHeld = false;
-    this.#inFlight[place.waiter.rank]--;
-    this.#running.delete(place);
+  #freePermit(state: PermitState): void {
+    state.isHeld = false;
+    this.#inFlight[state.waiter.rank]--;
+    this.#permits.delete(state);
   }
 
-  #remove(waiter: Waiter): void {
-    this.#waiting[waiter.rank].delete(waiter);
+  #removeWaiter(waiter: Waiter): void {
+    this.#waiters[waiter.rank].delete(waiter);
     this.#queues[waiter.rank].remove(waiter);
   }
 
-  /** One timer serves all waiters: those of a rank expire in arrival order. */
+  /** Sets one timer for all waiters; within a rank the first expires first. */
   #scheduleExpiry(): void {
     this.#cancelExpiry?.();
     this.#cancelExpiry = undefined;
     const { clock } = this.#options;
-    let next = Infinity;
+    let nextExpiry = Infinity;
     for (const rank of RANKS) {
-      const [first] = this.#waiting[rank];
-      next = Math.min(next, first?.expiresAt ?? Infinity);
+      const [first] = this.#waiters[rank];
+      nextExpiry = Math.min(nextExpiry, first?.expiresAt ?? Infinity);
     }
-    if (next < Infinity) {
-      const delay = Math.max(0, next - clock.now());
-      this.#cancelExpiry = clock.schedule(delay, () => this.#expire());
+    if (nextExpiry < Infinity) {
+      const delayMs = Math.max(0, nextExpiry - clock.now());
+      this.#cancelExpiry = clock.schedule(delayMs, () => this.#expire());
     }
   }
 
   #expire(): void {
     const now = this.#options.clock.now();
     for (const rank of RANKS) {
-      for (const waiter of this.#waiting[rank]) {
+      for (const waiter of this.#waiters[rank]) {
         if (waiter.expiresAt > now) {
           break;
         }
-        this.#remove(waiter);
+        this.#removeWaiter(waiter);
         waiter.settle(
-          Result.err(createOverload(rank, 0, waiter.verdict)),
+          Result.err(createOverloadRefusal(rank, 0, waiter.verdict)),
         );
       }
     }
--- a/packages/policy/src/call-reducer.ts
+++ b/packages/policy/src/call-reducer.ts
@@ -1,21 +1,21 @@
 /**
- * The reducer of the calls stream: which intent is the first for its key, and
- * how it ended. It reads no clock.
+ * Reducer of the calls stream: which intent is the first for its key, and what
+ * its outcome was. It reads no clock.
  *
  * @module
  */
 import type { CallRecord, CallRecordOf, Verdict } from "@zinniahill/schema";
 
-/** How a remembered call ended. */
+/** Outcome of a remembered call. */
 export interface RememberedOutcome {
   readonly verdict: Verdict;
   readonly status: number;
   readonly contentType: string;
-  /** The reply in base64; undefined when it is not kept any more. */
+  /** The reply in base64; undefined once it is no longer kept. */
   readonly body: string | undefined;
 }
 
-/** What is remembered of a key. */
+/** The first intent for a key, and its outcome once it is known. */
 export interface RememberedCall {
   readonly intent: string;
   readonly node: string;
@@ -24,18 +24,17 @@
 }
 
 /**
- * Total size of kept replies. Bodies of 20,000 calls would exceed the 32 MB
- * that a node may use for control, so the oldest ones are dropped first.
+ * Limit of the total size of the kept replies. The replies of 20,000 calls
+ * would exceed the 32 MB that a node may use for control data, so the oldest
+ * are dropped first.
  */
-const KEPT_BODY_BYTES = 8 * 1024 * 1024;
+const MAX_KEPT_BODY_BYTES = 8 * 1024 * 1024;
 
-/** Bounds the shared texts, as upstreams choose their content types. */
-const MAX_SHARED_TEXTS = 1000;
+/** Limit of the interned texts, as upstreams may send any content type. */
+const MAX_INTERNED_TEXTS = 1000;
 
-/**
- * What is kept of a key: flat, and with shared texts, as there are 20,000.
- */
-interface Entry {
+/** State of a key; flat and with interned texts, as there are 20,000 keys. */
+interface CallEntry {
   readonly intent: string;
   readonly node: string;
   readonly bodyHash: string;
@@ -47,28 +46,28 @@
 
 /** Applies call records in the order of their offsets. */
 export class CallReducer {
-  #calls = new Map<string, Entry>();
-  /** Keys whose reply takes space, oldest first. */
+  #calls = new Map<string, CallEntry>();
+  /** Keys with a kept reply that is not empty, oldest first. */
   #keysWithBody = new Set<string>();
   #bodyBytes = 0;
-  /** Intents that cannot become the first for their key any more. */
+  /** Intents that can no longer become the first for their key. */
   #endedIntents = new Set<string>();
-  /** Names of nodes and content types, of which there are few. */
-  #sharedTexts = new Map<string, string>();
-  #limit: number;
-  #bodyLimitBytes: number;
-
-  constructor(limit: number, bodyLimitBytes: number = KEPT_BODY_BYTES) {
-    this.#limit = limit;
-    this.#bodyLimitBytes = bodyLimitBytes;
+  /** Names of nodes and content types; few of them differ. */
+  #internedTexts = new Map<string, string>();
+  #maxCalls: number;
+  #maxBodyBytes: number;
+
+  constructor(maxCalls: number, maxBodyBytes: number = MAX_KEPT_BODY_BYTES) {
+    this.#maxCalls = maxCalls;
+    this.#maxBodyBytes = maxBodyBytes;
   }
 
-  /** The number of keys that are remembered. */
+  /** The number of remembered keys. */
   get size(): number {
     return this.#calls.size;
   }
 
-  /** The size of the replies that are kept. */
+  /** The size of all kept replies. */
   get bodyBytes(): number {
     return this.#bodyBytes;
   }
@@ -81,7 +80,7 @@
     handler(record);
   }
 
-  /** Returns what is remembered of a key. */
+  /** Returns the call that is remembered for a key. */
   find(key: string): RememberedCall | undefined {
     const entry = this.#calls.get(key);
     if (entry === undefined) {
@@ -97,7 +96,7 @@
     };
   }
 
-  /** Whether an intent was read that is not, and never will be, the first. */
+  /** Whether an intent is not the first for its key, and never will be. */
   hasEnded(intent: string): boolean {
     return this.#endedIntents.has(intent);
   }
@@ -116,11 +115,11 @@
     if (this.#endedIntents.has(intent)) {
       return;
     }
-    const holder = this.#calls.get(key);
-    if (holder === undefined) {
+    const current = this.#calls.get(key);
+    if (current === undefined) {
       this.#calls.set(key, {
         intent,
-        node: this.#share(node),
+        node: this.#intern(node),
         bodyHash,
         verdict: undefined,
         status: 0,
@@ -128,9 +127,9 @@
         body: undefined,
       });
       this.#forgetOldest();
-    } else if (holder.intent !== intent) {
-      // A second copy of this intent, appended again after a lost reply, must
-      // not take the key after its holder has freed it.
+    } else if (current.intent !== intent) {
+      // This intent may be appended again after a lost reply. The second copy
+      // must not take the key once the first intent has released it.
       this.#rememberEnded(intent);
     }
   }
@@ -151,13 +150,13 @@
     }
     entry.verdict = record.verdict;
     entry.status = record.status;
-    entry.contentType = this.#share(record.contentType);
+    entry.contentType = this.#intern(record.contentType);
     if (record.isBodyOmitted !== true) {
       this.#keepBody(record.key, entry, record.body);
     }
   }
 
-  #keepBody(key: string, entry: Entry, body: string): void {
+  #keepBody(key: string, entry: CallEntry, body: string): void {
     entry.body = body;
     if (body === "") {
       return;
@@ -165,42 +164,42 @@
     this.#keysWithBody.add(key);
     this.#bodyBytes += body.length;
     for (const oldest of this.#keysWithBody) {
-      if (this.#bodyBytes <= this.#bodyLimitBytes) {
+      if (this.#bodyBytes <= this.#maxBodyBytes) {
         return;
       }
       this.#dropBody(oldest, this.#calls.get(oldest));
     }
   }
 
-  #dropBody(key: string, entry: Entry | undefined): void {
+  #dropBody(key: string, entry: CallEntry | undefined): void {
     if (this.#keysWithBody.delete(key) && entry !== undefined) {
       this.#bodyBytes -= entry.body?.length ?? 0;
       entry.body = undefined;
     }
   }
 
-  /** Returns one string for all equal ones. */
-  #share(text: string): string {
-    const shared = this.#sharedTexts.get(text);
-    if (shared !== undefined) {
-      return shared;
+  /** Returns the same string object for equal texts, to save memory. */
+  #intern(text: string): string {
+    const interned = this.#internedTexts.get(text);
+    if (interned !== undefined) {
+      return interned;
     }
-    if (this.#sharedTexts.size < MAX_SHARED_TEXTS) {
-      this.#sharedTexts.set(text, text);
+    if (this.#internedTexts.size < MAX_INTERNED_TEXTS) {
+      this.#internedTexts.set(text, text);
     }
     return text;
   }
 
   #rememberEnded(intent: string): void {
     this.#endedIntents.add(intent);
-    if (this.#endedIntents.size > this.#limit) {
+    if (this.#endedIntents.size > this.#maxCalls) {
       const [oldest] = this.#endedIntents;
       this.#endedIntents.delete(oldest!);
     }
   }
 
   #forgetOldest(): void {
-    if (this.#calls.size > this.#limit) {
+    if (this.#calls.size > this.#maxCalls) {
       const oldest = this.#calls.keys().next().value!;
       const entry = this.#calls.get(oldest);
       this.#calls.delete(oldest);
--- a/packages/policy/src/capacity.ts
+++ b/packages/policy/src/capacity.ts
@@ -1,33 +1,33 @@
 /**
- * The share of the fleet's batch slots that one node may use.
+ * Share of the groups' batch slots that one node may use.
  *
  * @module
  */
 
-/** The load of a group as it last reported. */
+/** Load of a group as of its last report. */
 export interface GroupReport {
   readonly group: string;
   readonly running: number;
   readonly waiting: number;
 }
 
-/** Slots of a group before any report shows how many it has. */
+/** Assumed slots of a group until reports show how many it has. */
 const INITIAL_SLOTS = 16;
 
-/** Reports in a row with a queue that show the slots of a group. */
+/** Consecutive reports with a queue after which the slots are known. */
 const QUEUED_REPORTS = 3;
 
-interface Learned {
+interface SlotEstimate {
   slots: number;
-  /** Running requests in the last reports, as long as all had a queue. */
-  queued: number[];
+  /** Running requests in the latest consecutive reports with a queue. */
+  runningWhileQueued: number[];
 }
 
-/** Learns batch slots from reports and divides them among the live nodes. */
+/** Estimates batch slots from reports and divides them among live nodes. */
 export class Capacity {
-  #slots = new Map<string, Learned>();
+  #slots = new Map<string, SlotEstimate>();
   #limit = INITIAL_SLOTS;
-  #total = 0;
+  #totalSlots = 0;
 
   /** Requests that this node may have in flight. */
   get limit(): number {
@@ -36,15 +36,16 @@
 
   /** Batch slots of all groups, as far as they are known. */
   get totalSlots(): number {
-    return this.#total;
+    return this.#totalSlots;
   }
 
   /**
-   * Takes the newest reports of the servable groups. Above its equal share, a node may use an equal
-   * part of the slots that nobody uses, so that all callers may sit on one node
-   * and yet no set of nodes takes more than is free. When groups have queues,
-   * the nodes above their equal share give the excess back. Without any report
-   * the limit is that of one group, so that a starting node can serve.
+   * Updates the limit from the latest reports of the servable groups. Above its
+   * equal share, a node may use an equal part of the free slots, so that one
+   * node can serve all callers and yet no set of nodes takes more slots than
+   * are free. When groups have queues, the nodes above their equal share give
+   * the excess back. Without any report the limit is that of one group, so that
+   * a starting node can serve.
    */
   observe(
     reports: readonly GroupReport[],
@@ -53,38 +54,43 @@
   ): void {
     let total = 0;
     let used = 0;
-    const slots = new Map<string, Learned>();
+    const slots = new Map<string, SlotEstimate>();
     for (const report of reports) {
-      const learned = this.#learn(report);
-      slots.set(report.group, learned);
-      total += learned.slots;
+      const estimate = this.#estimateSlots(report);
+      slots.set(report.group, estimate);
+      total += estimate.slots;
       used += report.running + report.waiting;
     }
     this.#slots = slots;
-    this.#total = total;
-    const nodes = Math.max(1, liveNodes);
+    this.#totalSlots = total;
+    const nodeCount = Math.max(1, liveNodes);
     const free = total - used;
     this.#limit = total === 0
       ? INITIAL_SLOTS
-      : Math.max(1, total / nodes, inFlight + free / nodes);
+      : Math.max(1, total / nodeCount, inFlight + free / nodeCount);
   }
 
   /**
-   * A queue in several reports in a row shows the exact number. In one report it
-   * does not: an engine takes in a burst of prompts over several steps.
+   * A queue in several consecutive reports shows the exact number of slots. One
+   * report does not: an engine admits a burst of prompts over several steps.
    */
-  #learn({ group, running, waiting }: GroupReport): Learned {
-    const known = this.#slots.get(group) ??
-      { slots: INITIAL_SLOTS, queued: [] };
+  #estimateSlots({ group, running, waiting }: GroupReport): SlotEstimate {
+    const previous = this.#slots.get(group) ??
+      { slots: INITIAL_SLOTS, runningWhileQueued: [] };
     if (waiting === 0) {
-      return { slots: Math.max(known.slots, running), queued: [] };
+      return {
+        slots: Math.max(previous.slots, running),
+        runningWhileQueued: [],
+      };
     }
-    const queued = [...known.queued, running].slice(-QUEUED_REPORTS);
-    const isExact = queued.length === QUEUED_REPORTS;
-    const most = Math.max(1, ...queued);
+    const runningWhileQueued = [...previous.runningWhileQueued, running].slice(
+      -QUEUED_REPORTS,
+    );
+    const isExact = runningWhileQueued.length === QUEUED_REPORTS;
+    const maxRunning = Math.max(1, ...runningWhileQueued);
     return {
-      slots: isExact ? most : Math.max(known.slots, running),
-      queued,
+      slots: isExact ? maxRunning : Math.max(previous.slots, running),
+      runningWhileQueued,
     };
   }
 }
--- a/packages/policy/src/checkpoint.ts
+++ b/packages/policy/src/checkpoint.ts
@@ -11,28 +11,28 @@
   type LogEntry,
 } from "@zinniahill/schema";
 
-/** What a node knows of the last checkpoint. */
+/** Age of the last checkpoint that a node knows of. */
 export interface CheckpointAge {
-  /** Entries of the stream since the state that the checkpoint holds. */
+  /** Entries of the stream after the state in the checkpoint. */
   readonly entries: number;
   /** Time since the checkpoint was read. */
   readonly ms: number;
 }
 
-/** How old the last checkpoint may become. */
+/** Age at which the next checkpoint is due. */
 export interface CheckpointLimits {
   readonly entries: number;
   readonly ms: number;
 }
 
-/** Nodes that may append a checkpoint, and how their delays are spread. */
+/** Order and delays in which nodes append a checkpoint that is due. */
 export interface CheckpointSchedule {
   readonly node: string;
   /** Nodes that hold a lease, in the order of their scopes' names. */
   readonly holders: readonly string[];
-  /** Time that one holder has before the next one takes its place. */
+  /** Time that a holder has before the turn of the next one. */
   readonly stepMs: number;
-  /** Longest random delay of a node that holds no lease. */
+  /** Longest random delay of nodes without a lease. */
   readonly spreadMs: number;
 }
 
@@ -45,35 +45,36 @@
 }
 
 /**
- * How long a node waits with a checkpoint that is due. The first holder
- * appends at once and the others follow only when it does not; nodes without
- * a lease come last, at random, so that they rarely append the same state.
+ * Returns the delay, in milliseconds, before a node appends a checkpoint that
+ * is due. The first holder appends at once, and the others only if it does not.
+ * Nodes without a lease come last, after a random delay, so that they rarely
+ * append the same state.
  */
 export function computeCheckpointDelay(
-  turn: CheckpointSchedule,
+  schedule: CheckpointSchedule,
   random: Random,
 ): number {
-  const holders = [...new Set(turn.holders)];
-  const position = holders.indexOf(turn.node);
+  const holders = [...new Set(schedule.holders)];
+  const position = holders.indexOf(schedule.node);
   return position >= 0
-    ? position * turn.stepMs
-    : holders.length * turn.stepMs + random.fraction() * turn.spreadMs;
+    ? position * schedule.stepMs
+    : holders.length * schedule.stepMs + random.fraction() * schedule.spreadMs;
 }
 
 /**
- * Returns the newest checkpoint that a reader can go on from when `first` is
- * the oldest retained offset.
+ * Returns the newest checkpoint that a reader can start from when
+ * `firstOffset` is the oldest retained offset.
  */
 export function findCheckpoint(
   entries: readonly LogEntry[],
-  first: number,
+  firstOffset: number,
 ): ControlSnapshot | undefined {
   for (const { offset, records } of entries.toReversed()) {
     for (const candidate of records.toReversed()) {
       const record = ControlRecord.safeParse(candidate);
       if (
         record.success && record.data.kind === "checkpoint" &&
-        isUsable(record.data.state, offset, first)
+        isUsable(record.data.state, offset, firstOffset)
       ) {
         return record.data.state;
       }
@@ -85,8 +86,9 @@
 function isUsable(
   state: ControlSnapshot,
   offset: number,
-  first: number,
+  firstOffset: number,
 ): boolean {
-  return state.asOf > 0 && state.asOf < offset && state.asOf >= first - 1 &&
+  return state.asOf > 0 && state.asOf < offset &&
+    state.asOf >= firstOffset - 1 &&
     state.configuration.version <= state.asOf;
 }
--- a/packages/policy/src/control-reducer.ts
+++ b/packages/policy/src/control-reducer.ts
@@ -1,5 +1,5 @@
 /**
- * The reducer of the control stream: the same records in the same order give
+ * Reducer of the control stream: the same records in the same order give
  * every node the same state. It reads no clock.
  *
  * @module
@@ -13,7 +13,7 @@
   LeaseState,
 } from "@zinniahill/schema";
 
-/** Whether a record was accepted, and otherwise why not. */
+/** Whether a record was accepted, and if not, why. */
 export type Decision =
   | { readonly accepted: true }
   | { readonly accepted: false; readonly reason: string };
@@ -25,15 +25,15 @@
 }
 
 /**
- * Decisions that are remembered. Writers repeat an append within seconds, so
- * the window only has to cover the records of that time; forming 150 groups
- * anew takes about 450 records.
+ * Number of decisions that are remembered. Writers repeat an append within
+ * seconds, so the window only has to cover the records of that time; forming
+ * 150 groups again takes about 450 records.
  */
 export const DECISION_WINDOW = 512;
 
 /**
  * Kinds whose decisions are remembered by id. A repeated lease record is
- * refused by its basis, and a checkpoint changes nothing.
+ * refused because of its basis, and a checkpoint changes nothing.
  */
 const IS_REMEMBERED: {
   readonly [Kind in ControlRecord["kind"]]: boolean;
@@ -52,7 +52,7 @@
 
 const NO_CONFIGURATION = { version: 0, text: "", author: "" };
 
-/** Phases that a group may move on to. */
+/** Phases that a group may enter next, by phase. */
 const NEXT_PHASES: { readonly [Phase in GroupPhase]: readonly GroupPhase[] } = {
   assigned: ["loading", "draining", "retired"],
   loading: ["ready", "draining", "retired"],
@@ -119,7 +119,7 @@
   apply(offset: number, record: ControlRecord): Decision {
     this.#asOf = Math.max(this.#asOf, offset);
     if (this.#decisions.has(record.id)) {
-      return refuse("the record repeats one that was decided before");
+      return refuse("the record repeats one that has been decided");
     }
     const handler = this.#handlers[record.kind] as Handler<typeof record.kind>;
     const decision = handler(record, offset);
@@ -129,7 +129,7 @@
     return decision;
   }
 
-  /** Whether the record with this id was accepted, if that is remembered. */
+  /** Whether a record was accepted; undefined if it is not remembered. */
   findDecision(id: string): boolean | undefined {
     return this.#decisions.get(id);
   }
@@ -139,7 +139,7 @@
     this.#asOf = Math.max(this.#asOf, offset);
   }
 
-  /** Returns the whole state in a form that can be stored. */
+  /** Returns the whole state for storage. */
   createSnapshot(): ControlSnapshot {
     return {
       asOf: this.#asOf,
@@ -155,7 +155,7 @@
     };
   }
 
-  /** Replaces the state by a stored one. */
+  /** Replaces the state by a stored snapshot. */
   restore(snapshot: ControlSnapshot): void {
     this.#asOf = snapshot.asOf;
     this.#configuration = snapshot.configuration;
@@ -192,15 +192,16 @@
     "lease": (record, offset) => this.#applyLease(record, offset),
     "group-assigned": (record, offset) => this.#assignGroup(record, offset),
     "group-loading": (record, offset) =>
-      this.#moveGroup(record, "loading", offset),
-    "group-ready": (record, offset) => this.#moveGroup(record, "ready", offset),
+      this.#changePhase(record, "loading", offset),
+    "group-ready": (record, offset) =>
+      this.#changePhase(record, "ready", offset),
     "group-draining": (record, offset) =>
-      this.#moveGroup(record, "draining", offset),
+      this.#changePhase(record, "draining", offset),
     "group-retired": (record, offset) => this.#retireGroup(record, offset),
     "host-released": (record) => {
       const held = this.#heldHosts.get(record.host);
       if (!this.#isFenceCurrent(record)) {
-        return refuse("the lease has moved on");
+        return refuse("the fencing number is not current");
       }
       if (held?.scope !== record.scope) {
         return refuse("the host is not held in this scope");
@@ -237,11 +238,11 @@
   ): Decision {
     const current = this.#leases.get(record.scope);
     if (record.basis !== (current?.last ?? 0)) {
-      return refuse("another lease record came first");
+      return refuse("another lease record was appended first");
     }
     const isRenewal = record.fence !== 0;
     if (isRenewal && record.fence !== current?.fence) {
-      return refuse("the lease has moved on");
+      return refuse("the fencing number is not current");
     }
     this.#leases.set(record.scope, {
       scope: record.scope,
@@ -258,14 +259,14 @@
     offset: number,
   ): Decision {
     if (!this.#isFenceCurrent(record)) {
-      return refuse("the lease has moved on");
+      return refuse("the fencing number is not current");
     }
     if (this.#groups.has(record.group)) {
-      return refuse("the group exists");
+      return refuse("the group already exists");
     }
-    const taken = record.hosts.find((host) => !this.isFree(host));
-    if (taken !== undefined) {
-      return refuse(`host ${taken} is not free`);
+    const occupied = record.hosts.find((host) => !this.isFree(host));
+    if (occupied !== undefined) {
+      return refuse(`host ${occupied} is not free`);
     }
     this.#groups.set(record.group, {
       group: record.group,
@@ -283,17 +284,17 @@
     return ACCEPTED;
   }
 
-  #moveGroup(
+  #changePhase(
     record: { scope: string; fence: number; group: string },
     phase: GroupPhase,
     offset: number,
   ): Decision {
     const group = this.#groups.get(record.group);
     if (!this.#isFenceCurrent(record) || group?.scope !== record.scope) {
-      return refuse("the lease has moved on");
+      return refuse("the fencing number or the group is not current");
     }
     if (!NEXT_PHASES[group.phase].includes(phase)) {
-      return refuse(`a group that is ${group.phase} cannot become ${phase}`);
+      return refuse(`the phase cannot change from ${group.phase} to ${phase}`);
     }
     this.#groups.set(record.group, {
       ...group,
@@ -309,7 +310,7 @@
     offset: number,
   ): Decision {
     const group = this.#groups.get(record.group);
-    const decision = this.#moveGroup(record, "retired", offset);
+    const decision = this.#changePhase(record, "retired", offset);
     if (!decision.accepted || group === undefined) {
       return decision;
     }
--- a/packages/policy/src/departure.ts
+++ b/packages/policy/src/departure.ts
@@ -1,13 +1,13 @@
 /**
- * Planned departures: which hosts go, and by when their groups must be empty.
+ * Planned departures: which hosts leave, and when their groups must be empty.
  *
  * @module
  */
 import type { Host } from "@zinniahill/schema";
 
-/** Sources of planned departures. */
+/** Information about planned departures. */
 export interface DepartureSources {
-  /** Planned times in wall-clock milliseconds, by host or fabric domain. */
+  /** Planned wall-clock times in milliseconds, by host or fabric domain. */
   readonly maintenance: ReadonlyMap<string, number>;
   /** Hosts that an operator has taken out of service. */
   readonly drainedHosts: ReadonlySet<string>;
@@ -15,21 +15,21 @@
   readonly wallTime: number;
 }
 
-/** A host that goes. */
+/** The planned departure of a host. */
 export interface Departure {
-  /** Wall-clock time of going; undefined when it goes as soon as it can. */
+  /** Wall-clock time in milliseconds; undefined means as soon as possible. */
   readonly at: number | undefined;
 }
 
 /**
- * A replacement is begun this long before a date. Loading is limited by the
- * weight store's rate, so it can take minutes when a whole domain moves.
+ * A replacement is begun this long before the departure. The rate of the weight
+ * store limits loading, so moving a whole fabric domain can take minutes.
  */
 export const REPLACE_AHEAD_MS = 600_000;
-/** Without a replacement, a group is drained this long before a date. */
+/** Without a replacement, a group is drained this long before departure. */
 export const DRAIN_AHEAD_MS = 120_000;
 
-/** Returns the departure of a host; undefined while it stays. */
+/** Returns the departure of a host, or undefined if none is near. */
 export function findDeparture(
   host: Host,
   sources: DepartureSources,
@@ -37,17 +37,17 @@
   if (sources.drainedHosts.has(host.host)) {
     return { at: undefined };
   }
-  const dates = [
+  const times = [
     sources.maintenance.get(host.host),
     sources.maintenance.get(host.fabricDomain),
   ].filter((at) => at !== undefined);
-  const isNear = dates.some((at) => at - sources.wallTime <= REPLACE_AHEAD_MS);
+  const isNear = times.some((at) => at - sources.wallTime <= REPLACE_AHEAD_MS);
   if (host.state === "leaving") {
     const leavesAt = Date.parse(host.leavesAt ?? "");
-    const known = Number.isNaN(leavesAt) ? dates : [...dates, leavesAt];
-    return { at: known.length === 0 ? undefined : Math.min(...known) };
+    const allTimes = Number.isNaN(leavesAt) ? times : [...times, leavesAt];
+    return { at: allTimes.length === 0 ? undefined : Math.min(...allTimes) };
   }
-  return isNear ? { at: Math.min(...dates) } : undefined;
+  return isNear ? { at: Math.min(...times) } : undefined;
 }
 
 /** Whether a group must be drained even if no replacement is ready. */
--- a/packages/policy/src/entry-node.ts
+++ b/packages/policy/src/entry-node.ts
@@ -1,11 +1,11 @@
 /**
- * Which node a caller is told to use.
+ * Choice of the node that a caller is directed to.
  *
  * @module
  */
 import type { Random } from "@zinniahill/kernel";
 
-/** A node that callers may be sent to. */
+/** A node that callers may be directed to. */
 export interface EntryNode {
   readonly address: string;
   readonly dataCentre: string;
@@ -14,23 +14,23 @@
 }
 
 /**
- * Least weight of a node. Reports of load are some seconds old, so a node that
- * reported a full load still gets a few callers.
+ * Least weight of a node. Load reports are some seconds old, so a node that
+ * reported full load still receives a few callers.
  */
 const MIN_WEIGHT = 0.05;
 
 /**
- * Chooses at random, in proportion to the capacity that is left. Nodes of the
- * caller's data centre come first as long as one of them has capacity left.
+ * Chooses a node at random, in proportion to its free capacity. Only nodes of
+ * the caller's data centre are considered while one of them has free capacity.
  */
 export function chooseEntryNode(
   candidates: readonly EntryNode[],
   dataCentre: string | undefined,
   random: Random,
 ): EntryNode | undefined {
-  const near = candidates.filter((entry) => entry.dataCentre === dataCentre);
-  const hasRoom = near.some(({ load }) => load < 1);
-  return chooseWeighted(hasRoom ? near : candidates, random);
+  const near = candidates.filter((node) => node.dataCentre === dataCentre);
+  const hasCapacity = near.some(({ load }) => load < 1);
+  return chooseWeighted(hasCapacity ? near : candidates, random);
 }
 
 function chooseWeighted(
--- a/packages/policy/src/fair-queue.ts
+++ b/packages/policy/src/fair-queue.ts
@@ -1,14 +1,14 @@
 /**
- * Weighted fair queueing of client accounts on tokens served.
+ * Weighted fair queueing of client accounts by tokens served.
  *
  * @module
  */
 import { Heap, type HeapItem } from "./heap.ts";
 
-/** What waits in the queue. */
+/** An item of the queue. */
 export interface QueuedItem {
   readonly account: string;
-  /** Tokens charged at dispatch; corrected when the real number is known. */
+  /** Tokens charged at dispatch; corrected once the real number is known. */
   readonly cost: number;
 }
 
@@ -16,39 +16,39 @@
   readonly account: string;
   readonly waiting: Set<Item>;
   weight: number;
-  /** Virtual time at which the next item may start. */
-  tag: number;
+  /** Virtual start time of the next item. */
+  startTag: number;
   waitingCost: number;
   inFlight: number;
 }
 
 /**
- * Start-time fair queueing: the account with the lowest virtual start time
- * goes next, and is charged tokens divided by its weight. A decision costs the
- * logarithm of the number of accounts that wait. An account is forgotten when
- * it has nothing waiting or running and virtual time has passed its charge.
+ * Start-time fair queueing: the account with the lowest virtual start time goes
+ * next and is charged its tokens divided by its weight. A decision takes time
+ * logarithmic in the number of waiting accounts. An account is forgotten when
+ * it has nothing waiting or running and virtual time has passed its start time.
  */
 export class FairQueue<Item extends QueuedItem> {
   #flows = new Map<string, Flow<Item>>();
-  #backlogged = new Heap<Flow<Item>>(({ tag }) => tag);
-  #charged = new Heap<Flow<Item>>(({ tag }) => tag);
+  #backloggedFlows = new Heap<Flow<Item>>(({ startTag }) => startTag);
+  #idleFlows = new Heap<Flow<Item>>(({ startTag }) => startTag);
   #virtualTime = 0;
   #size = 0;
   #inFlight = 0;
   #waitingCost = 0;
   #waitingWeight = 0;
 
-  /** The number of items that wait. */
+  /** The number of waiting items. */
   get size(): number {
     return this.#size;
   }
 
-  /** The number of accounts that are remembered. */
+  /** The number of remembered accounts. */
   get accountCount(): number {
     return this.#flows.size;
   }
 
-  /** Tokens of all items that wait. */
+  /** Tokens of all waiting items. */
   get waitingCost(): number {
     return this.#waitingCost;
   }
@@ -57,11 +57,11 @@
   add(item: Item, weight: number): void {
     const flow = this.#findFlow(item.account, weight);
     if (flow.waiting.size === 0) {
-      this.#charged.remove(flow);
-      flow.tag = Math.max(flow.tag, this.#virtualTime);
+      this.#idleFlows.remove(flow);
+      flow.startTag = Math.max(flow.startTag, this.#virtualTime);
       flow.weight = weight;
       this.#waitingWeight += weight;
-      this.#backlogged.add(flow);
+      this.#backloggedFlows.add(flow);
     }
     flow.waiting.add(item);
     flow.waitingCost += item.cost;
@@ -69,48 +69,49 @@
     this.#size++;
   }
 
-  /** Tokens that are served before a new item of an account can start. */
+  /** Estimates the tokens served before a new item of an account starts. */
   countTokensAhead(account: string, weight: number): number {
     const flow = this.#flows.get(account);
-    const lead = Math.max(0, (flow?.tag ?? 0) - this.#virtualTime);
+    const virtualDelay = Math.max(0, (flow?.startTag ?? 0) - this.#virtualTime);
     const isWaiting = flow !== undefined && flow.waiting.size > 0;
-    const others = this.#waitingWeight - (isWaiting ? flow.weight : 0);
-    const own = flow?.waitingCost ?? 0;
-    const ahead = own + others * (lead + own / weight);
-    return Math.min(ahead, this.#waitingCost);
+    const otherWeight = this.#waitingWeight - (isWaiting ? flow.weight : 0);
+    const ownTokens = flow?.waitingCost ?? 0;
+    const tokensAhead = ownTokens +
+      otherWeight * (virtualDelay + ownTokens / weight);
+    return Math.min(tokensAhead, this.#waitingCost);
   }
 
   /** Takes the next item and charges its account. */
   take(): Item | undefined {
-    const flow = this.#backlogged.first;
+    const flow = this.#backloggedFlows.first;
     if (flow === undefined) {
       return undefined;
     }
     const [item] = flow.waiting;
-    // Corrections may move the lowest tag back. Virtual time follows it, or an
-    // account that starts now would stand behind all corrected ones.
-    this.#virtualTime = flow.tag;
-    flow.tag += item!.cost / flow.weight;
+    // Corrections may lower the lowest start tag. Virtual time follows it back;
+    // otherwise a new account would queue behind all corrected ones.
+    this.#virtualTime = flow.startTag;
+    flow.startTag += item!.cost / flow.weight;
     flow.inFlight++;
     this.#inFlight++;
-    this.#drop(flow, item!);
-    this.#backlogged.update(flow);
-    this.#forgetPassed();
+    this.#removeWaiting(flow, item!);
+    this.#backloggedFlows.update(flow);
+    this.#forgetIdle();
     return item;
   }
 
-  /** Removes an item that no longer waits. */
+  /** Removes a waiting item; false if it does not wait. */
   remove(item: Item): boolean {
     const flow = this.#flows.get(item.account);
     if (flow === undefined || !flow.waiting.has(item)) {
       return false;
     }
-    this.#drop(flow, item);
-    this.#forget(flow);
+    this.#removeWaiting(flow, item);
+    this.#updateIdle(flow);
     return true;
   }
 
-  /** Ends an item that was taken, and corrects the charge. */
+  /** Ends an item that was taken, and corrects its charge. */
   end(item: Item, tokens: number): void {
     const flow = this.#flows.get(item.account);
     if (flow === undefined) {
@@ -118,12 +119,12 @@
     }
     flow.inFlight--;
     this.#inFlight--;
-    flow.tag += (tokens - item.cost) / flow.weight;
-    this.#backlogged.update(flow);
-    this.#forget(flow);
+    flow.startTag += (tokens - item.cost) / flow.weight;
+    this.#backloggedFlows.update(flow);
+    this.#updateIdle(flow);
     if (this.#inFlight + this.#size === 0) {
       this.#flows.clear();
-      this.#charged = new Heap<Flow<Item>>(({ tag }) => tag);
+      this.#idleFlows = new Heap<Flow<Item>>(({ startTag }) => startTag);
       this.#virtualTime = 0;
     }
   }
@@ -135,46 +136,46 @@
         account,
         weight,
         waiting: new Set(),
-        tag: this.#virtualTime,
+        startTag: this.#virtualTime,
         waitingCost: 0,
         inFlight: 0,
-        place: -1,
+        index: -1,
       };
       this.#flows.set(account, flow);
     }
     return flow;
   }
 
-  #drop(flow: Flow<Item>, item: Item): void {
+  #removeWaiting(flow: Flow<Item>, item: Item): void {
     flow.waiting.delete(item);
     flow.waitingCost -= item.cost;
     this.#waitingCost -= item.cost;
     this.#size--;
     if (flow.waiting.size === 0) {
       this.#waitingWeight -= flow.weight;
-      this.#backlogged.remove(flow);
+      this.#backloggedFlows.remove(flow);
     }
   }
 
-  #forget(flow: Flow<Item>): void {
+  #updateIdle(flow: Flow<Item>): void {
     if (flow.waiting.size > 0 || flow.inFlight > 0) {
       return;
     }
-    this.#charged.remove(flow);
-    if (flow.tag <= this.#virtualTime) {
+    this.#idleFlows.remove(flow);
+    if (flow.startTag <= this.#virtualTime) {
       this.#flows.delete(flow.account);
     } else {
-      this.#charged.add(flow);
+      this.#idleFlows.add(flow);
     }
   }
 
-  #forgetPassed(): void {
+  #forgetIdle(): void {
     for (
-      let flow = this.#charged.first;
-      flow !== undefined && flow.tag <= this.#virtualTime;
-      flow = this.#charged.first
+      let flow = this.#idleFlows.first;
+      flow !== undefined && flow.startTag <= this.#virtualTime;
+      flow = this.#idleFlows.first
     ) {
-      this.#charged.remove(flow);
+      this.#idleFlows.remove(flow);
       this.#flows.delete(flow.account);
     }
   }
--- a/packages/policy/src/first-token-latency.ts
+++ b/packages/policy/src/first-token-latency.ts
@@ -1,5 +1,5 @@
 /**
- * How long first tokens take after dispatch.
+ * Estimate of the time between dispatch and first token.
  *
  * @module
  */
@@ -7,32 +7,34 @@
 
 /** Weight of a new sample in the mean and in the deviation. */
 const SMOOTHING = 0.1;
-/** Deviations above the mean that cover about 99 in 100 samples. */
-const DEVIATIONS = 3;
+/** Mean deviations above the mean that cover about 99 in 100 samples. */
+const P99_DEVIATIONS = 3;
 
-interface Typical {
+interface LatencyEstimate {
   meanMs: number;
   deviationMs: number;
 }
 
-/** Time between dispatch and first token, by rank. */
+/** Estimates the time between dispatch and first token, by rank. */
 export class FirstTokenLatency {
-  #typical = new Map<Rank, Typical>();
+  #estimates = new Map<Rank, LatencyEstimate>();
 
-  /** The time from dispatch to first token that few requests exceed. */
-  getTypicalMs(rank: Rank): number {
-    const typical = this.#typical.get(rank);
-    return typical === undefined
+  /** The time that about 1 in 100 requests exceeds; 0 without samples. */
+  estimateP99Ms(rank: Rank): number {
+    const estimate = this.#estimates.get(rank);
+    return estimate === undefined
       ? 0
-      : typical.meanMs + DEVIATIONS * typical.deviationMs;
+      : estimate.meanMs + P99_DEVIATIONS * estimate.deviationMs;
   }
 
-  /** Takes one measured time. */
-  note(rank: Rank, ms: number): void {
-    const typical = this.#typical.get(rank) ?? { meanMs: ms, deviationMs: 0 };
-    const error = ms - typical.meanMs;
-    typical.meanMs += SMOOTHING * error;
-    typical.deviationMs += SMOOTHING * (Math.abs(error) - typical.deviationMs);
-    this.#typical.set(rank, typical);
+  /** Records one sample. */
+  record(rank: Rank, ms: number): void {
+    const estimate = this.#estimates.get(rank) ??
+      { meanMs: ms, deviationMs: 0 };
+    const error = ms - estimate.meanMs;
+    estimate.meanMs += SMOOTHING * error;
+    estimate.deviationMs += SMOOTHING *
+      (Math.abs(error) - estimate.deviationMs);
+    this.#estimates.set(rank, estimate);
   }
 }
--- a/packages/policy/src/heap.ts
+++ b/packages/policy/src/heap.ts
@@ -1,13 +1,13 @@
 /**
- * A binary heap whose items can be moved after their key has changed.
+ * Binary heap whose items can be moved after their key has changed.
  *
  * @module
  */
 
-/** An item that remembers its place in a heap. */
+/** An item that stores its index in a heap. */
 export interface HeapItem {
   /** Index in the heap; -1 while the item is in none. */
-  place: number;
+  index: number;
 }
 
 /** Keeps the item with the lowest key first. */
@@ -31,40 +31,40 @@
 
   /** Adds an item that is in no heap. */
   add(item: Item): void {
-    item.place = this.#items.length;
+    item.index = this.#items.length;
     this.#items.push(item);
-    this.#rise(item);
+    this.#siftUp(item);
   }
 
-  /** Removes an item; one that is in no heap is left alone. */
+  /** Removes an item; does nothing if it is in no heap. */
   remove(item: Item): void {
-    if (item.place < 0) {
+    if (item.index < 0) {
       return;
     }
     const last = this.#items.pop()!;
     if (last !== item) {
-      this.#put(last, item.place);
+      this.#set(last, item.index);
       this.update(last);
     }
-    item.place = -1;
+    item.index = -1;
   }
 
   /** Moves an item whose key has changed. */
   update(item: Item): void {
-    if (item.place >= 0) {
-      this.#rise(item);
-      this.#sink(item);
+    if (item.index >= 0) {
+      this.#siftUp(item);
+      this.#siftDown(item);
     }
   }
 
-  #put(item: Item, place: number): void {
-    this.#items[place] = item;
-    item.place = place;
+  #set(item: Item, index: number): void {
+    this.#items[index] = item;
+    item.index = index;
   }
 
-  #rise(item: Item): void {
-    while (item.place > 0) {
-      const parent = this.#items[(item.place - 1) >> 1]!;
+  #siftUp(item: Item): void {
+    while (item.index > 0) {
+      const parent = this.#items[(item.index - 1) >> 1]!;
       if (this.#readKey(parent) <= this.#readKey(item)) {
         return;
       }
@@ -72,10 +72,10 @@
     }
   }
 
-  #sink(item: Item): void {
+  #siftDown(item: Item): void {
     for (;;) {
-      const left = this.#items[2 * item.place + 1];
-      const right = this.#items[2 * item.place + 2];
+      const left = this.#items[2 * item.index + 1];
+      const right = this.#items[2 * item.index + 2];
       const isRight = left !== undefined && right !== undefined &&
         this.#readKey(right) < this.#readKey(left);
       const child = isRight ? right : left;
@@ -89,8 +89,8 @@
   }
 
   #swap(one: Item, other: Item): void {
-    const { place } = one;
-    this.#put(one, other.place);
-    this.#put(other, place);
+    const { index } = one;
+    this.#set(one, other.index);
+    this.#set(other, index);
   }
 }
--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Decisions of the system, apart from the encoding of messages.
+ * Decision logic of the system, independent of the encoding of messages.
  *
  * @module
  */
--- a/packages/policy/src/load-balancer.ts
+++ b/packages/policy/src/load-balancer.ts
@@ -1,23 +1,23 @@
 /**
- * Routing: which group gets a request.
+ * Routing: the choice of the group that gets a request.
  *
  * @module
  */
 import type { Clock, Random } from "@zinniahill/kernel";
-import { StragglerDetector } from "./straggler-detector.ts";
 import { PrefixIndex } from "./prefix-index.ts";
+import { StragglerDetector } from "./straggler-detector.ts";
 
-/** A group that may be chosen. */
+/** A group that can be chosen. */
 export interface RouteCandidate {
   readonly group: string;
   readonly dataCentre: string;
-  /** Requests in flight at the group, as its last report says. */
+  /** Requests in flight at the group, as of its last report. */
   readonly reportedLoad: number;
   /** When that report was made, on this node's clock. */
   readonly reportedAt: number;
 }
 
-/** What routing needs to know of a request. */
+/** Properties of a request that routing depends on. */
 export interface RouteRequest {
   readonly dataCentre: string;
   /** Groups that have failed this request. */
@@ -26,23 +26,23 @@
   readonly prefix?: readonly string[];
 }
 
-/** A report loses half of its weight in this time. */
+/** The weight of a report halves in this time. */
 const REPORT_HALF_LIFE_MS = 1000;
-/** A preferred group may have this much more load than the mean. */
+/** Load up to which a group is preferred, as a multiple of the mean. */
 const PREFERENCE_LOAD_FACTOR = 1;
-/** Load that a preference may add when groups are almost idle. */
+/** Added to that limit, so that preferences hold on almost idle groups. */
 const PREFERENCE_SLACK = 1;
-/** A new group gets its full part after this time. */
+/** A new group gets its full share of the load after this time. */
 const SLOW_START_MS = 10_000;
-const SLOW_START_SHARE = 0.1;
+const INITIAL_SHARE = 0.1;
 
-/** Chooses groups and counts the work that this node has given them. */
+/** Chooses groups and counts the requests that this node has sent them. */
 export class LoadBalancer {
-  /** Prefixes that groups are thought to hold in their caches. */
+  /** Prefixes that are likely to be in the caches of the groups. */
   readonly prefixes: PrefixIndex;
   #clock: Clock;
   #random: Random;
-  #speeds: StragglerDetector;
+  #stragglers: StragglerDetector;
   #outstanding = new Map<string, number>();
   #firstSeenAt = new Map<string, number>();
   #reports = new Map<string, { reportedAt: number; others: number }>();
@@ -51,15 +51,15 @@
     this.prefixes = prefixes;
     this.#clock = clock;
     this.#random = random;
-    this.#speeds = new StragglerDetector(clock);
+    this.#stragglers = new StragglerDetector(clock);
   }
 
-  /** Requests of this node that run on a group. */
+  /** Counts the requests of this node that run on a group. */
   countOutstanding(group: string): number {
     return this.#outstanding.get(group) ?? 0;
   }
 
-  /** Chooses a group; the caller reports its begin and its end. */
+  /** Chooses a group; the caller reports when the request begins and ends. */
   choose(
     request: RouteRequest,
     candidates: readonly RouteCandidate[],
@@ -67,11 +67,12 @@
     const allowed = request.excluded.size === 0
       ? candidates
       : candidates.filter(({ group }) => !request.excluded.has(group));
-    const usable = this.#speeds.filter(allowed);
-    const bound = this.#getLoadBound(usable);
-    const chosen = this.#chooseByPrefix(request.prefix ?? [], usable, bound) ??
-      this.#chooseNear(request.dataCentre, usable, bound) ??
-      this.#chooseOfTwo(usable);
+    const usable = this.#stragglers.filter(allowed);
+    const maxLoad = this.#computePreferenceLimit(usable);
+    const chosen =
+      this.#chooseByPrefix(request.prefix ?? [], usable, maxLoad) ??
+        this.#chooseInDataCentre(request.dataCentre, usable, maxLoad) ??
+        this.#chooseOfTwo(usable);
     if (chosen !== undefined && request.prefix !== undefined) {
       this.prefixes.recordPrompt(chosen.group, request.prefix);
     }
@@ -93,25 +94,25 @@
     }
   }
 
-  /** Takes the mean time between tokens over a part of a stream. */
+  /** Records the mean time between tokens over a part of a stream. */
   recordTokenGap(group: string, ms: number): void {
-    this.#speeds.note(group, ms);
+    this.#stragglers.record(group, ms);
   }
 
-  /** Forgets groups that exist no longer. */
+  /** Forgets groups that no longer exist. */
   retain(groups: ReadonlySet<string>): void {
     for (const group of this.#firstSeenAt.keys()) {
       if (!groups.has(group)) {
         this.#firstSeenAt.delete(group);
         this.#reports.delete(group);
-        this.#speeds.forget(group);
+        this.#stragglers.forget(group);
         this.prefixes.forget(group);
       }
     }
   }
 
-  /** The load up to which a group may be preferred to others. */
-  #getLoadBound(candidates: readonly RouteCandidate[]): number {
+  /** Returns the load up to which a group may be preferred. */
+  #computePreferenceLimit(candidates: readonly RouteCandidate[]): number {
     const load = candidates.reduce(
       (sum, candidate) => sum + this.#countLoad(candidate),
       0,
@@ -123,13 +124,13 @@
   #chooseByPrefix(
     prefix: readonly string[],
     candidates: readonly RouteCandidate[],
-    bound: number,
+    maxLoad: number,
   ): RouteCandidate | undefined {
     let best: RouteCandidate | undefined;
     let bestLength = 0;
     for (const candidate of prefix.length > 0 ? candidates : []) {
       const length = this.prefixes.match(candidate.group, prefix);
-      if (length > bestLength && this.#countLoad(candidate) <= bound) {
+      if (length > bestLength && this.#countLoad(candidate) <= maxLoad) {
         best = candidate;
         bestLength = length;
       }
@@ -137,16 +138,16 @@
     return best;
   }
 
-  /** Two choices in the data centre, unless both have too much work. */
-  #chooseNear(
+  /** Two choices in the data centre, unless both exceed the load limit. */
+  #chooseInDataCentre(
     dataCentre: string,
     candidates: readonly RouteCandidate[],
-    bound: number,
+    maxLoad: number,
   ): RouteCandidate | undefined {
     const near = this.#chooseOfTwo(
       candidates.filter((candidate) => candidate.dataCentre === dataCentre),
     );
-    return near !== undefined && this.#countLoad(near) <= bound
+    return near !== undefined && this.#countLoad(near) <= maxLoad
       ? near
       : undefined;
   }
@@ -164,19 +165,20 @@
     return this.#countLoad(second) < this.#countLoad(first) ? second : first;
   }
 
-  /** Own work, and the work of others as far as the report is fresh. */
+  /** Own requests, and those of other nodes weighted by the report's age. */
   #countLoad(candidate: RouteCandidate): number {
     const own = this.countOutstanding(candidate.group);
     const others = this.#countOthers(candidate);
-    const age = this.#clock.now() - candidate.reportedAt;
-    const weight = 0.5 ** (age / REPORT_HALF_LIFE_MS);
-    return (own + others * weight + 1) / this.#getStartShare(candidate.group);
+    const ageMs = this.#clock.now() - candidate.reportedAt;
+    const weight = 0.5 ** (ageMs / REPORT_HALF_LIFE_MS);
+    return (own + others * weight + 1) /
+      this.#getSlowStartShare(candidate.group);
   }
 
   /**
-   * Work of others, as of the report. Own work is taken off as it was when the
-   * report came; taking off the present number would hide all that this node
-   * has sent since, and send a burst to one group.
+   * Requests of other nodes, as of the report. The own requests at the time of
+   * the report are subtracted: subtracting their present number would hide what
+   * this node has sent since, and send a burst to one group.
    */
   #countOthers({ group, reportedLoad, reportedAt }: RouteCandidate): number {
     const known = this.#reports.get(group);
@@ -188,20 +190,20 @@
     return others;
   }
 
-  #getStartShare(group: string): number {
+  #getSlowStartShare(group: string): number {
     const now = this.#clock.now();
     const firstSeenAt = this.#firstSeenAt.get(group);
     if (firstSeenAt === undefined) {
       this.#firstSeenAt.set(group, now);
-      return SLOW_START_SHARE;
+      return INITIAL_SHARE;
     }
-    // A group that returns from ejection starts slowly too: its new samples
-    // come late, because its requests are slow.
+    // A group that returns from ejection starts slowly, too: its requests are
+    // slow, so new samples of its speed arrive late.
     const startedAt = Math.max(
       firstSeenAt,
-      this.#speeds.getReturnedAt(group),
+      this.#stragglers.getEjectedUntil(group),
     );
     const share = (now - startedAt) / SLOW_START_MS;
-    return Math.min(1, Math.max(SLOW_START_SHARE, share));
+    return Math.min(1, Math.max(INITIAL_SHARE, share));
   }
 }
--- a/packages/policy/src/peer-choice.ts
+++ b/packages/policy/src/peer-choice.ts
@@ -1,22 +1,22 @@
 /**
- * Which nodes a node connects to when there are too many to reach them all.
+ * Choice of the peers that a node connects to when there are many nodes.
  *
  * @module
  */
 
-/** One connection that a node keeps: its preferred peer, then replacements. */
+/** Peers for one connection: the preferred one, then its replacements. */
 export type PeerSlot = readonly string[];
 
 /** Hashes a name to a number that is the same on every node. */
 export type NameHash = (name: string) => number;
 
 /**
- * Plans a node's connections. While all nodes fit in the limit, each one is
- * dialled. Beyond it, nodes form a ring in the order of their hashes, and each
- * node dials half the limit, at distances that grow geometrically; the other
- * half comes from nodes that dial it. Distance 1 keeps the graph connected, the
- * others make it robust and its paths short. A slot continues along the ring
- * when its preferred peer cannot be reached.
+ * Plans a node's connections. Up to the limit, it dials every other node.
+ * Beyond the limit, the nodes form a ring in the order of their hashes, and
+ * each one dials half the limit, at distances that grow geometrically; the
+ * other half are nodes that dial it. Distance 1 keeps the graph connected; the
+ * others make it robust and its paths short. When the preferred peer of a slot
+ * cannot be reached, the slot continues along the ring.
  */
 export function planPeerSlots(
   own: string,
@@ -32,8 +32,8 @@
     .map((name) => ({ name, position: hash(name) }))
     .sort((a, b) => a.position - b.position || (a.name < b.name ? -1 : 1))
     .map(({ name }) => name);
-  const at = ring.indexOf(own);
-  const successors = [...ring.slice(at + 1), ...ring.slice(0, at)];
+  const ownIndex = ring.indexOf(own);
+  const successors = [...ring.slice(ownIndex + 1), ...ring.slice(0, ownIndex)];
   return computeDistances(ring.length, Math.max(1, Math.floor(limit / 2)))
     .map((distance) => [
       ...successors.slice(distance - 1),
--- a/packages/policy/src/peer-tree.ts
+++ b/packages/policy/src/peer-tree.ts
@@ -1,94 +1,96 @@
 /**
- * A spanning tree over the connections between nodes.
+ * Spanning tree over the connections between nodes.
  *
  * @module
  */
 
-/** What a node tells its neighbours of its place in the tree. */
+/** A node's position in the tree, as its neighbours are told. */
 export interface TreePosition {
-  /** The node with the lowest name that is known to live. */
+  /** The node with the lowest name among the known live ones. */
   readonly root: string;
-  /** Raised by the root at a fixed interval. */
+  /** Increased by the root at a fixed interval. */
   readonly rootSequence: number;
   readonly depth: number;
   /** Empty at the root, and while a node looks for a new parent. */
   readonly parent: string;
 }
 
-/** Waves that the parent may be behind another neighbour. */
-const LATE_WAVES = 3;
-/** Roots that were lost and are remembered, so that they do not come back. */
+/** How far the parent's sequence may be behind another neighbour's. */
+const MAX_SEQUENCE_LAG = 3;
+/** Lost roots that are remembered; late messages must not restore them. */
 const MAX_LOST_ROOTS = 64;
 
 /**
- * Chooses this node's parent. A parent has a higher rootSequence of the same root, or
- * the same rootSequence and a lower depth; since no node's place becomes worse while
- * its root lives, parents never form a cycle. A root whose rootSequence no longer rises
- * is lost; it is accepted again only with a higher rootSequence.
+ * Chooses this node's parent. A parent has a higher sequence of the same root,
+ * or the same sequence and a lower depth. No node's position becomes worse
+ * while its root lives, so parents never form a cycle. A root whose sequence no
+ * longer increases is lost; it is accepted again only with a higher sequence.
  */
 export class PeerTree {
   #own: string;
-  #validityMs: number;
-  #place: TreePosition;
-  #raisedAt: number;
+  #timeoutMs: number;
+  #position: TreePosition;
+  #increasedAt: number;
   #neighbours = new Map<string, TreePosition>();
-  #lost = new Map<string, number>();
+  #lostRoots = new Map<string, number>();
 
-  /** `rootSequence` must be higher than the last rootSequence of an earlier process. */
+  /** `rootSequence` must be higher than any of an earlier process. */
   constructor(
     own: string,
     rootSequence: number,
-    validityMs: number,
+    timeoutMs: number,
     now: number,
   ) {
     this.#own = own;
-    this.#validityMs = validityMs;
-    this.#raisedAt = now;
-    this.#place = { root: own, rootSequence, depth: 0, parent: "" };
+    this.#timeoutMs = timeoutMs;
+    this.#increasedAt = now;
+    this.#position = { root: own, rootSequence, depth: 0, parent: "" };
   }
 
-  /** This node's place, as it is told to the neighbours. */
+  /** This node's position, as its neighbours are told. */
   get position(): TreePosition {
-    return this.#place;
+    return this.#position;
   }
 
   /** Neighbours along the tree: the parent and the children. */
   get links(): string[] {
     return [...this.#neighbours]
-      .filter(([node, place]) =>
-        node === this.#place.parent || place.parent === this.#own
+      .filter(([node, position]) =>
+        node === this.#position.parent || position.parent === this.#own
       )
       .map(([node]) => node);
   }
 
-  /** Begins a rootSequence as the root, or gives up a root that is silent. */
+  /** Increases the sequence as the root, or gives up a silent root. */
   advance(rootSequence: number, now: number): void {
-    const { root, rootSequence: known } = this.#place;
+    const { root, rootSequence: known } = this.#position;
     if (root === this.#own) {
-      this.#place = {
-        ...this.#place,
+      this.#position = {
+        ...this.#position,
         rootSequence: Math.max(rootSequence, known + 1),
       };
-    } else if (now - this.#raisedAt > this.#validityMs) {
-      this.#giveUpRoot();
-      this.#place = { root: this.#own, rootSequence, depth: 0, parent: "" };
+    } else if (now - this.#increasedAt > this.#timeoutMs) {
+      this.#markRootLost();
+      this.#position = { root: this.#own, rootSequence, depth: 0, parent: "" };
     }
   }
 
-  /** Takes in the place of a neighbour. */
-  updateNeighbour(node: string, place: TreePosition, now: number): void {
-    this.#neighbours.set(node, place);
-    const { root, rootSequence, parent } = this.#place;
-    if (node === parent && place.root !== root) {
-      this.#follow(node, place, now);
-    } else if (place.parent !== this.#own && this.#isBetter(node, place)) {
-      if (place.root !== root || place.rootSequence > rootSequence) {
-        this.#raisedAt = now;
+  /** Applies the position of a neighbour. */
+  updateNeighbour(node: string, position: TreePosition, now: number): void {
+    this.#neighbours.set(node, position);
+    const { root, rootSequence, parent } = this.#position;
+    if (node === parent && position.root !== root) {
+      this.#followParent(node, position, now);
+    } else if (
+      position.parent !== this.#own && this.#isBetter(node, position)
+    ) {
+      if (position.root !== root || position.rootSequence > rootSequence) {
+        this.#increasedAt = now;
       }
-      this.#place = {
-        root: place.root,
-        rootSequence: place.rootSequence,
-        depth: place.depth + 1,
+      this.#position = {
+        root: position.root,
+        rootSequence: position.rootSequence,
+        depth: position.depth + 1,
         parent: node,
       };
     }
@@ -101,60 +103,60 @@
         this.#neighbours.delete(node);
       }
     }
-    const { parent } = this.#place;
+    const { parent } = this.#position;
     if (parent === "" || connected.has(parent)) {
       return;
     }
-    this.#place = { ...this.#place, parent: "" };
-    if (parent === this.#place.root) {
-      // If the root lives, its next rootSequence arrives over another connection.
-      this.#raisedAt = Number.NEGATIVE_INFINITY;
+    this.#position = { ...this.#position, parent: "" };
+    if (parent === this.#position.root) {
+      // If the root lives, its next sequence arrives over another connection.
+      this.#increasedAt = Number.NEGATIVE_INFINITY;
     }
   }
 
-  /** Stays below a parent that has another root, so that its links remain. */
-  #follow(node: string, place: TreePosition, now: number): void {
-    if (place.parent === this.#own || place.root === this.#own) {
-      this.#place = { ...this.#place, parent: "" };
+  /** Follows the parent to another root, so that the links remain. */
+  #followParent(node: string, position: TreePosition, now: number): void {
+    if (position.parent === this.#own || position.root === this.#own) {
+      this.#position = { ...this.#position, parent: "" };
       return;
     }
-    if (place.root > this.#place.root) {
-      this.#giveUpRoot();
+    if (position.root > this.#position.root) {
+      this.#markRootLost();
     }
-    this.#raisedAt = now;
-    this.#place = {
-      root: place.root,
-      rootSequence: place.rootSequence,
-      depth: place.depth + 1,
+    this.#increasedAt = now;
+    this.#position = {
+      root: position.root,
+      rootSequence: position.rootSequence,
+      depth: position.depth + 1,
       parent: node,
     };
   }
 
-  #giveUpRoot(): void {
-    this.#lost.set(this.#place.root, this.#place.rootSequence);
-    if (this.#lost.size > MAX_LOST_ROOTS) {
-      const [oldest] = this.#lost.keys();
-      this.#lost.delete(oldest!);
+  #markRootLost(): void {
+    this.#lostRoots.set(this.#position.root, this.#position.rootSequence);
+    if (this.#lostRoots.size > MAX_LOST_ROOTS) {
+      const [oldest] = this.#lostRoots.keys();
+      this.#lostRoots.delete(oldest!);
     }
   }
 
-  #isBetter(node: string, place: TreePosition): boolean {
-    const { root, rootSequence, depth, parent } = this.#place;
-    if (place.root !== root) {
-      return place.root < root &&
-        place.rootSequence > (this.#lost.get(place.root) ?? -1);
+  #isBetter(node: string, position: TreePosition): boolean {
+    const { root, rootSequence, depth, parent } = this.#position;
+    if (position.root !== root) {
+      return position.root < root &&
+        position.rootSequence > (this.#lostRoots.get(position.root) ?? -1);
     }
     if (root === this.#own) {
       return false;
     }
-    if (place.rootSequence === rootSequence) {
-      return place.depth + 1 < depth;
+    if (position.rootSequence === rootSequence) {
+      return position.depth + 1 < depth;
     }
-    const limit = node === parent || parent === ""
+    const minSequence = node === parent || parent === ""
       ? rootSequence + 1
-      : place.depth + 1 < depth
+      : position.depth + 1 < depth
       ? rootSequence + 1
-      : rootSequence + LATE_WAVES;
-    return place.rootSequence >= limit;
+      : rootSequence + MAX_SEQUENCE_LAG;
+    return position.rootSequence >= minSequence;
   }
 }
--- a/packages/policy/src/permit.ts
+++ b/packages/policy/src/permit.ts
@@ -1,36 +1,37 @@
 /**
- * What a caller of admission asks for, and what it gets.
+ * Requests for admission, and the permits that they receive.
  *
  * @module
  */
 import type { Rank, Refusal } from "@zinniahill/schema";
 import type { Result } from "true-myth";
 
-/** What admission needs to know of a request. */
+/** Properties of a request that admission depends on. */
 export interface AdmissionRequest {
   readonly account: string;
   readonly rank: Rank;
-  /** Tokens that the answer may have. */
+  /** Largest number of tokens in the answer. */
   readonly tokens: number;
 }
 
-/** A place that a request holds until it ends. */
+/** Permission of a request to be in flight, held until it is released. */
 export interface Permit {
   /**
-   * Priority on the engine, 0 first. Work within its rank's floor has the
-   * highest, or it would hold its place while the engine serves urgent work.
+   * Priority on the engine, 0 first. A request within the floor of its rank has
+   * the highest one; otherwise it would hold its permit while the engine serves
+   * urgent requests.
    */
   readonly priority: number;
   /**
-   * Aborts when a batch request is to give its place to urgent work. The
-   * holder cancels it on the engine, then calls `resume` and releases this
-   * permit. A holder that never reads the signal is not asked to yield.
+   * Aborts when a batch request has to yield to an urgent one. Its owner then
+   * cancels it on the engine, calls `resume` and releases this permit. If the
+   * signal was never read, the request is not asked to yield.
    */
   readonly yieldSignal: AbortSignal;
-  /** Waits for a place again after a yield, behind those that already wait. */
+  /** Waits for a new permit after a yield, behind the waiting requests. */
   resume(signal: AbortSignal): Promise<Result<Permit, Refusal>>;
-  /** Says that the first token of an attempt has come. */
+  /** Records that the first token of an attempt has arrived. */
   recordFirstToken(): void;
-  /** Gives the place back; `tokens` were served under this permit. */
+  /** Releases the permit, under which `tokens` were served. */
   release(tokens: number): void;
 }
--- a/packages/policy/src/placement.ts
+++ b/packages/policy/src/placement.ts
@@ -1,5 +1,5 @@
 /**
- * Placement: which free hosts form the next group of a model.
+ * Placement: the choice of free hosts for the next group of a model.
  *
  * @module
  */
@@ -12,34 +12,39 @@
   readonly dataCentre: string;
 }
 
-/** What a placement takes into account beside the free hosts. */
+/** What a placement depends on besides the free hosts. */
 export interface PlacementContext {
-  /** Group sizes of all models, to tell which leftovers stay usable. */
-  readonly sizes: readonly number[];
-  /** Groups of the same model by fabric domain. */
-  readonly replicas: ReadonlyMap<string, number>;
+  /** Group groupSizes of all models; they tell which hosts stay usable. */
+  readonly groupSizes: readonly number[];
+  /** Number of groups of the same model, by fabric domain. */
+  readonly replicaCounts: ReadonlyMap<string, number>;
 }
 
 interface Candidate {
   readonly fabricDomain: string;
   readonly hosts: readonly Host[];
-  /** Criteria in order of weight; lower is better. */
+  /** Criteria in order of priority; lower is better. */
   readonly cost: readonly number[];
 }
 
 /**
- * Chooses hosts for one more group inside one fabric domain: first where the
- * fewest hosts become stranded, then where the fewest replicas of the model
- * are, then where a spare remains, then the tightest fit.
+ * Chooses hosts for one more group within one fabric domain: first where the
+ * fewest hosts become stranded, then where the model has the fewest replicas,
+ * then where a spare remains, then where the fewest hosts are left.
  */
 export function placeGroup(
   model: ModelRule,
   freeHosts: readonly Host[],
-  context: PlacementContext = { sizes: [model.hosts], replicas: new Map() },
+  context: PlacementContext = {
+    groupSizes: [model.hosts],
+    replicaCounts: new Map(),
+  },
 ): PlacedGroup | undefined {
-  const [best] = [...groupByDomain(freeHosts)]
+  const [best] = [...groupByFabricDomain(freeHosts)]
     .filter(([, hosts]) => hosts.length >= model.hosts)
-    .map(([domain, hosts]) => createCandidate(domain, hosts, model, context))
+    .map(([fabricDomain, hosts]) =>
+      createCandidate(fabricDomain, hosts, model, context)
+    )
     .sort(compareCandidates);
   if (best === undefined) {
     return undefined;
@@ -54,11 +59,11 @@
 /** Counts the accelerators of free hosts that no further group can use. */
 export function countStrandedAccelerators(
   freeHosts: readonly Host[],
-  sizes: readonly number[],
+  groupSizes: readonly number[],
 ): number {
-  return [...groupByDomain(freeHosts).values()]
+  return [...groupByFabricDomain(freeHosts).values()]
     .map((hosts) => {
-      const stranded = countStrandedHosts(hosts.length, sizes);
+      const stranded = countStrandedHosts(hosts.length, groupSizes);
       return hosts
         .map(({ accelerators }) => accelerators)
         .sort((a, b) => a - b)
@@ -72,44 +77,54 @@
   fabricDomain: string,
   hosts: readonly Host[],
   model: ModelRule,
-  { sizes, replicas }: PlacementContext,
+  { groupSizes, replicaCounts }: PlacementContext,
 ): Candidate {
-  const left = hosts.length - model.hosts;
-  const added = countStrandedHosts(left, sizes) -
-    countStrandedHosts(hosts.length, sizes);
-  const lacksSpare = model.spares > 0 && left === 0 ? 1 : 0;
-  const cost = [added, replicas.get(fabricDomain) ?? 0, lacksSpare, left];
+  const remaining = hosts.length - model.hosts;
+  const newlyStranded = countStrandedHosts(remaining, groupSizes) -
+    countStrandedHosts(hosts.length, groupSizes);
+  const lacksSpare = model.spares > 0 && remaining === 0 ? 1 : 0;
+  const cost = [
+    newlyStranded,
+    replicaCounts.get(fabricDomain) ?? 0,
+    lacksSpare,
+    remaining,
+  ];
   return { fabricDomain, hosts, cost };
 }
 
 function compareCandidates(a: Candidate, b: Candidate): number {
-  const index = a.cost.findIndex((value, place) => value !== b.cost[place]);
+  const index = a.cost.findIndex((value, position) =>
+    value !== b.cost[position]
+  );
   return index < 0
     ? compareText(a.fabricDomain, b.fabricDomain)
     : a.cost[index]! - b.cost[index]!;
 }
 
-/** Hosts of one domain that remain when groups fill it as far as possible. */
-function countStrandedHosts(count: number, sizes: readonly number[]): number {
-  const fills = [true];
+/** Counts the hosts that the best mix of groups leaves over. */
+function countStrandedHosts(
+  count: number,
+  groupSizes: readonly number[],
+): number {
+  const canFill = [true];
   for (let filled = 1; filled <= count; filled++) {
-    fills[filled] = sizes.some((size) =>
-      size > 0 && size <= filled && fills[filled - size] === true
+    canFill[filled] = groupSizes.some((size) =>
+      size > 0 && size <= filled && canFill[filled - size] === true
     );
   }
-  return count - fills.lastIndexOf(true);
+  return count - canFill.lastIndexOf(true);
 }
 
-function groupByDomain(hosts: readonly Host[]): Map<string, Host[]> {
-  const domains = new Map<string, Host[]>();
+function groupByFabricDomain(hosts: readonly Host[]): Map<string, Host[]> {
+  const hostsByFabricDomain = new Map<string, Host[]>();
   for (const host of hosts) {
-    const members = domains.get(host.fabricDomain) ?? [];
-    domains.set(host.fabricDomain, [...members, host]);
+    const grouped = hostsByFabricDomain.get(host.fabricDomain) ?? [];
+    hostsByFabricDomain.set(host.fabricDomain, [...grouped, host]);
   }
-  return domains;
+  return hostsByFabricDomain;
 }
 
-/** Compares by code units, so that every node sorts in the same way. */
+/** Compares by code units, so that every node sorts the same way. */
 export function compareText(a: string, b: string): number {
   return a < b ? -1 : a > b ? 1 : 0;
 }
--- a/packages/policy/src/prefix-index.ts
+++ b/packages/policy/src/prefix-index.ts
@@ -1,13 +1,13 @@
 /**
- * Which prompt prefixes the groups' caches are thought to hold.
+ * Prompt prefixes that are likely to be in the caches of the groups.
  *
  * @module
  */
 import { DeepestFirstStore, type PrefixStore } from "./prefix-store.ts";
 
 /**
- * An index kept from what the node has sent. Cache events correct it; they come
- * late and with gaps, so the index is a hint.
+ * Index of the prompts that this node has sent. Cache events correct it, but
+ * they arrive late and with gaps, so the index is only a hint.
  */
 export class PrefixIndex {
   #createStore: () => PrefixStore;
@@ -17,30 +17,30 @@
     this.#createStore = createStore;
   }
 
-  /** How many of the prefixes, from the shortest, a group holds. */
+  /** Counts the prefixes, from the shortest one, that a group holds. */
   match(group: string, prefix: readonly string[]): number {
-    const held = this.#groups.get(group);
-    if (held === undefined) {
+    const store = this.#groups.get(group);
+    if (store === undefined) {
       return 0;
     }
     let length = 0;
-    while (length < prefix.length && held.has(prefix[length]!)) {
+    while (length < prefix.length && store.has(prefix[length]!)) {
       length++;
     }
     return length;
   }
 
-  /** Notes a prompt that was sent to a group. */
+  /** Records a prompt that was sent to a group. */
   recordPrompt(group: string, prefix: readonly string[]): void {
-    let held = this.#groups.get(group);
-    if (held === undefined) {
-      held = this.#createStore();
-      this.#groups.set(group, held);
+    let store = this.#groups.get(group);
+    if (store === undefined) {
+      store = this.#createStore();
+      this.#groups.set(group, store);
     }
-    held.add(prefix);
+    store.add(prefix);
   }
 
-  /** Corrects the index by an event of a group's cache. */
+  /** Applies an event of a group's cache. */
   applyCacheEvent(
     group: string,
     event: {
@@ -51,9 +51,9 @@
     if (event.stored !== undefined) {
       this.recordPrompt(group, event.stored);
     }
-    const held = this.#groups.get(group);
+    const store = this.#groups.get(group);
     for (const hash of event.removed ?? []) {
-      held?.remove(hash);
+      store?.remove(hash);
     }
   }
 
--- a/packages/policy/src/prefix-store.ts
+++ b/packages/policy/src/prefix-store.ts
@@ -1,26 +1,26 @@
 /**
- * The prefixes of one group, in limited memory.
+ * Prompt prefixes of one group, in limited memory.
  *
  * @module
  */
 
-/** Prefixes remembered for one group. */
+/** Prefixes kept for one group. */
 const DEFAULT_CAPACITY = 4096;
 
-/** Oldest prefixes among which the longest is dropped. */
-const TAIL_CANDIDATES = 16;
+/** Number of oldest prefixes from which one is evicted. */
+const EVICTION_CANDIDATES = 16;
 
-/** The prefixes of one group, and what is dropped when there are too many. */
+/** Holds the prefixes of one group, and evicts some when there are too many. */
 export interface PrefixStore {
   has(hash: string): boolean;
-  /** Notes the use of a prompt's prefixes, the shortest first. */
+  /** Adds or refreshes the prefixes of a prompt, the shortest first. */
   add(prefix: readonly string[]): void;
   remove(hash: string): void;
 }
 
 /**
- * Among the oldest prefixes, drops the one deepest in its prompt: fewer later
- * prompts share it, and the shorter ones stay of use without it.
+ * Evicts, among the oldest prefixes, the one deepest in its prompt: fewer later
+ * prompts share it, and the shorter prefixes remain useful without it.
  */
 export class DeepestFirstStore implements PrefixStore {
   #capacity: number;
@@ -40,7 +40,7 @@
       this.#depths.set(hash, depth);
     });
     while (this.#depths.size > this.#capacity) {
-      this.#depths.delete(this.#findTail());
+      this.#depths.delete(this.#findVictim());
     }
   }
 
@@ -48,19 +48,19 @@
     this.#depths.delete(hash);
   }
 
-  #findTail(): string {
-    let tail = "";
-    let deepest = -1;
+  #findVictim(): string {
+    let victim = "";
+    let maxDepth = -1;
     let seen = 0;
     for (const [hash, depth] of this.#depths) {
-      if (depth > deepest) {
-        tail = hash;
-        deepest = depth;
+      if (depth > maxDepth) {
+        victim = hash;
+        maxDepth = depth;
       }
-      if (++seen === TAIL_CANDIDATES) {
+      if (++seen === EVICTION_CANDIDATES) {
         break;
       }
     }
-    return tail;
+    return victim;
   }
 }
--- a/packages/policy/src/replicas.ts
+++ b/packages/policy/src/replicas.ts
@@ -1,16 +1,16 @@
 /**
- * How many groups of each model there are, and where the next ones form.
+ * Number of groups of each model, and the hosts of the next ones.
  *
- * Every lease holder computes the whole plan from the agreed state and takes
- * the part of its own data centre, so that two holders do not both make up for
- * one missing replica.
+ * Every lease holder computes the whole plan from the agreed state and carries
+ * out the part of its own data centre, so that two holders do not both
+ * replace one missing replica.
  *
  * @module
  */
 import type { GroupState, Host, ModelRule } from "@zinniahill/schema";
 import { compareText, type PlacedGroup, placeGroup } from "./placement.ts";
 
-/** What the plan depends on; the same input gives the same plan. */
+/** Input of a plan; the same input gives the same plan. */
 export interface PlanInput {
   readonly models: readonly ModelRule[];
   readonly groups: readonly GroupState[];
@@ -24,7 +24,7 @@
   readonly placed: PlacedGroup;
 }
 
-/** Groups that count as replicas: a replacement counts once it takes over. */
+/** Groups that count as replicas; replacements count once they take over. */
 export function listReplicas(groups: readonly GroupState[]): GroupState[] {
   const active = groups.filter(({ phase }) =>
     phase !== "draining" && phase !== "retired"
@@ -35,23 +35,28 @@
   );
 }
 
-/** Chooses hosts for every replica that is missing and can be placed. */
+/** Chooses hosts for every missing replica that can be placed. */
 export function planGroups(input: PlanInput): PlannedGroup[] {
   const planned: PlannedGroup[] = [];
   const free = new Map(input.freeHosts.map((host) => [host.host, host]));
   const replicas = listReplicas(input.groups);
-  const sizes = input.models.map(({ hosts }) => hosts);
+  const groupSizes = input.models.map(({ hosts }) => hosts);
   const models = input.models.toSorted((a, b) => compareText(a.name, b.name));
   for (const model of models) {
-    const places = replicas.filter((group) => group.model === model.name)
+    const locations = replicas.filter((group) => group.model === model.name)
       .map(({ dataCentre, fabricDomain }) => ({ dataCentre, fabricDomain }));
-    while (places.length < model.replicas) {
-      const placed = placeReplica(model, places, [...free.values()], sizes);
+    while (locations.length < model.replicas) {
+      const placed = placeReplica(
+        model,
+        locations,
+        [...free.values()],
+        groupSizes,
+      );
       if (placed === undefined) {
         break;
       }
       planned.push({ model, placed });
-      places.push(placed);
+      locations.push(placed);
       placed.hosts.forEach(({ host }) => free.delete(host));
     }
   }
@@ -64,48 +69,55 @@
   group: GroupState,
   input: PlanInput,
 ): PlacedGroup | undefined {
-  const places = input.groups.filter(({ model: name }) => name === model.name);
-  const sizes = input.models.map(({ hosts }) => hosts);
+  const locations = input.groups.filter(({ model: name }) =>
+    name === model.name
+  );
+  const groupSizes = input.models.map(({ hosts }) => hosts);
   const near = input.freeHosts.filter(({ dataCentre }) =>
     dataCentre === group.dataCentre
   );
-  return placeReplica(model, places, near, sizes) ??
-    placeReplica(model, places, input.freeHosts, sizes);
+  return placeReplica(model, locations, near, groupSizes) ??
+    placeReplica(model, locations, input.freeHosts, groupSizes);
 }
 
-/** Groups beyond the replicas that the rules ask for, to be drained. */
+/** Returns the groups to drain, beyond the replicas that the rules ask for. */
 export function listSurplusGroups(
   models: readonly ModelRule[],
   groups: readonly GroupState[],
 ): GroupState[] {
-  const wanted = new Map(models.map(({ name, replicas }) => [name, replicas]));
+  const targetCounts = new Map(
+    models.map(({ name, replicas }) => [name, replicas]),
+  );
   const replicas = listReplicas(groups);
   const names = [...new Set(replicas.map(({ model }) => model))];
   return names.flatMap((name) => {
-    const members = replicas.filter(({ model }) => model === name);
-    return chooseSurplus(members, members.length - (wanted.get(name) ?? 0));
+    const modelGroups = replicas.filter(({ model }) => model === name);
+    return chooseSurplus(
+      modelGroups,
+      modelGroups.length - (targetCounts.get(name) ?? 0),
+    );
   });
 }
 
-type Place = Pick<GroupState, "dataCentre" | "fabricDomain">;
+type Location = Pick<GroupState, "dataCentre" | "fabricDomain">;
 
 /** Places one group in the data centre that has the fewest replicas. */
 function placeReplica(
   model: ModelRule,
-  places: readonly Place[],
+  locations: readonly Location[],
   free: readonly Host[],
-  sizes: readonly number[],
+  groupSizes: readonly number[],
 ): PlacedGroup | undefined {
-  const byDataCentre = countBy(places, ({ dataCentre }) => dataCentre);
-  const replicas = countBy(places, ({ fabricDomain }) => fabricDomain);
+  const countsByDataCentre = countBy(locations, ({ dataCentre }) => dataCentre);
+  const replicaCounts = countBy(locations, ({ fabricDomain }) => fabricDomain);
   const dataCentres = [...new Set(free.map(({ dataCentre }) => dataCentre))]
     .sort((a, b) =>
-      (byDataCentre.get(a) ?? 0) - (byDataCentre.get(b) ?? 0) ||
+      (countsByDataCentre.get(a) ?? 0) - (countsByDataCentre.get(b) ?? 0) ||
       compareText(a, b)
     );
   for (const dataCentre of dataCentres) {
     const hosts = free.filter((host) => host.dataCentre === dataCentre);
-    const placed = placeGroup(model, hosts, { sizes, replicas });
+    const placed = placeGroup(model, hosts, { groupSizes, replicaCounts });
     if (placed !== undefined) {
       return placed;
     }
@@ -113,19 +125,23 @@
   return undefined;
 }
 
-/** Prefers groups that do not serve yet, then crowded data centres. */
+/** Prefers groups that do not serve yet, then the fullest data centres. */
 function chooseSurplus(
-  members: readonly GroupState[],
+  modelGroups: readonly GroupState[],
   count: number,
 ): GroupState[] {
-  const remaining = [...members];
+  const remaining = [...modelGroups];
   const chosen: GroupState[] = [];
   while (chosen.length < count) {
-    const byDataCentre = countBy(remaining, ({ dataCentre }) => dataCentre);
-    const rank = (group: GroupState) => group.phase === "ready" ? 1 : 0;
+    const countsByDataCentre = countBy(
+      remaining,
+      ({ dataCentre }) => dataCentre,
+    );
+    const readiness = (group: GroupState) => group.phase === "ready" ? 1 : 0;
     remaining.sort((a, b) =>
-      rank(a) - rank(b) ||
-      byDataCentre.get(b.dataCentre)! - byDataCentre.get(a.dataCentre)! ||
+      readiness(a) - readiness(b) ||
+      countsByDataCentre.get(b.dataCentre)! -
+        countsByDataCentre.get(a.dataCentre)! ||
       compareText(a.group, b.group)
     );
     chosen.push(remaining.shift()!);
--- a/packages/policy/src/retry-budget.ts
+++ b/packages/policy/src/retry-budget.ts
@@ -1,17 +1,17 @@
 /**
- * How many retries the first attempts of a rank allow.
+ * Budget of retries for each rank.
  *
  * @module
  */
 import type { Random } from "@zinniahill/kernel";
 import { type Rank, type RankRule, RANKS } from "@zinniahill/schema";
 
-/** Retries that may be saved up, and that a quiet node may start with. */
+/** Retries that a rank may save up, and that it starts with. */
 const MAX_SAVED_RETRIES = 10;
 const BACKOFF_BASE_MS = 50;
 const BACKOFF_LIMIT_MS = 2000;
 
-/** A budget of retries for each rank, as a share of first attempts. */
+/** Limits the retries of each rank to a share of its first attempts. */
 export class RetryBudget {
   #readRule: (rank: Rank) => Pick<RankRule, "retries">;
   #random: Random;
@@ -27,13 +27,13 @@
     this.#random = random;
   }
 
-  /** Notes a first attempt, which adds the rank's share of a retry. */
+  /** Adds the rank's share of a retry for a first attempt. */
   deposit(rank: Rank): void {
     const saved = this.#saved.get(rank)! + this.#readRule(rank).retries;
     this.#saved.set(rank, Math.min(MAX_SAVED_RETRIES, saved));
   }
 
-  /** Takes one retry from the budget; false when there is none. */
+  /** Takes one retry from the budget; false if there is none. */
   tryWithdraw(rank: Rank): boolean {
     const saved = this.#saved.get(rank)!;
     if (saved < 1) {
@@ -43,17 +43,17 @@
     return true;
   }
 
-  /** Takes a retry for a second attempt that runs beside the first. */
+  /** Takes a retry for a second attempt that runs in parallel. */
   tryWithdrawHedge(rank: Rank, isIdempotent: boolean): boolean {
     return rank === "urgent" && isIdempotent && this.tryWithdraw(rank);
   }
 
-  /** The pause before an attempt, with full jitter; the first has number 1. */
+  /** Draws a backoff with full jitter; the first retry has number 1. */
   drawBackoffMs(retry: number): number {
-    const limit = Math.min(
+    const limitMs = Math.min(
       BACKOFF_LIMIT_MS,
       BACKOFF_BASE_MS * 2 ** (retry - 1),
     );
-    return this.#random.fraction() * limit;
+    return this.#random.fraction() * limitMs;
   }
 }
--- a/packages/policy/src/service-rates.ts
+++ b/packages/policy/src/service-rates.ts
@@ -1,22 +1,22 @@
 /**
- * How fast each rank can be served.
+ * Estimate of the rate at which each rank can be served.
  *
  * @module
  */
 import type { Clock } from "@zinniahill/kernel";
 import { type Rank, RANKS, type Rules } from "@zinniahill/schema";
 
-/** Older dispatches count less, by a factor of e in this time. */
-const MEMORY_MS = 2000;
-/** The rate is unknown until all places were taken for this long. */
+/** The weight of older tokens decays by a factor of e in this time. */
+const DECAY_MS = 2000;
+/** The rate is unknown until all permits were taken for this long. */
 const MIN_FULL_MS = 200;
 
-/** Tokens over time, with older ones counted less. */
+/** Rate of tokens, with older ones weighted less. */
 class DecayingRate {
   #tokens = 0;
   #elapsedMs = 0;
 
-  get perMs(): number {
+  get tokensPerMs(): number {
     return this.#elapsedMs === 0 ? 0 : this.#tokens / this.#elapsedMs;
   }
 
@@ -24,28 +24,28 @@
     return this.#elapsedMs;
   }
 
-  note(tokens: number): void {
+  add(tokens: number): void {
     this.#tokens += tokens;
   }
 
   advance(ms: number): void {
-    const kept = Math.exp(-ms / MEMORY_MS);
-    this.#tokens *= kept;
-    this.#elapsedMs = this.#elapsedMs * kept + ms;
+    const factor = Math.exp(-ms / DECAY_MS);
+    this.#tokens *= factor;
+    this.#elapsedMs = this.#elapsedMs * factor + ms;
   }
 }
 
 /**
- * Measures the rate of all releases while every place is taken, which goes on
- * when requests are refused, and the dispatches of each rank.
- * The rate that a rank can reach follows from the order of ranks: what its own
- * dispatches were says nothing when few of them were asked for.
+ * Measures the rate of releases while all permits are taken, also when requests
+ * are refused, and the rate of dispatches of each rank. The rate that a rank
+ * can reach is derived from the order of the ranks, as its own dispatches say
+ * nothing while it has little demand.
  */
 export class ServiceRates {
   #clock: Clock;
   #updatedAt: number;
   #isFull = false;
-  #total = new DecayingRate();
+  #releases = new DecayingRate();
   #ranks: Record<Rank, DecayingRate> = {
     urgent: new DecayingRate(),
     normal: new DecayingRate(),
@@ -57,36 +57,36 @@
     this.#updatedAt = clock.now();
   }
 
-  /** Counts a request that gets a place. */
-  noteDispatch(rank: Rank, tokens: number): void {
+  /** Counts a request that receives a permit. */
+  recordDispatch(rank: Rank, tokens: number): void {
     this.#advance();
-    this.#ranks[rank].note(tokens);
+    this.#ranks[rank].add(tokens);
   }
 
-  /** Counts a request that gives its place back. */
-  noteRelease(tokens: number): void {
+  /** Counts a request that releases its permit. */
+  recordRelease(tokens: number): void {
     this.#advance();
     if (this.#isFull) {
-      this.#total.note(tokens);
+      this.#releases.add(tokens);
     }
   }
 
-  /** Says whether all places are taken now. */
+  /** Sets whether all permits are taken. */
   setFull(isFull: boolean): void {
     this.#advance();
     this.#isFull = isFull;
   }
 
-  /** Tokens a millisecond that a rank can reach; Infinity when unknown. */
-  getAttainable(rank: Rank, rules: Rules): number {
+  /** Tokens per millisecond that a rank can reach; Infinity if unknown. */
+  getAttainableRate(rank: Rank, rules: Rules): number {
     this.#advance();
-    if (this.#total.elapsedMs < MIN_FULL_MS) {
+    if (this.#releases.elapsedMs < MIN_FULL_MS) {
       return Infinity;
     }
-    const total = this.#total.perMs;
+    const total = this.#releases.tokensPerMs;
     let rate = total;
     for (const other of RANKS) {
-      const used = this.#ranks[other].perMs;
+      const used = this.#ranks[other].tokensPerMs;
       const isAhead = rules.ranks[other].worth > rules.ranks[rank].worth;
       if (other !== rank) {
         const floor = rules.ranks[other].floor * total;
@@ -98,13 +98,13 @@
 
   #advance(): void {
     const now = this.#clock.now();
-    const elapsed = now - this.#updatedAt;
+    const elapsedMs = now - this.#updatedAt;
     this.#updatedAt = now;
     for (const rank of RANKS) {
-      this.#ranks[rank].advance(elapsed);
+      this.#ranks[rank].advance(elapsedMs);
     }
     if (this.#isFull) {
-      this.#total.advance(elapsed);
+      this.#releases.advance(elapsedMs);
     }
   }
 }
--- a/packages/policy/src/straggler-detector.ts
+++ b/packages/policy/src/straggler-detector.ts
@@ -1,11 +1,11 @@
 /**
- * Ejects groups that are much slower than the others.
+ * Ejection of groups that are much slower than the others.
  *
  * @module
  */
 import type { Clock } from "@zinniahill/kernel";
 
-interface Speed {
+interface GroupSpeed {
   tokenGapMs: number;
   samples: number;
   ejectedUntil: number;
@@ -14,19 +14,19 @@
 
 const SMOOTHING = 0.2;
 const MIN_SAMPLES = 4;
-/** A group this much slower than the median is a straggler. */
+/** A group is a straggler above this multiple of the median token gap. */
 const STRAGGLER_FACTOR = 2;
-/** Groups that stay in use, as a share of the candidates. */
-const CAPACITY_FLOOR = 0.7;
-const EJECTION_MS = 5000;
+/** Least share of the candidates that stays in use. */
+const MIN_USABLE_SHARE = 0.7;
+const INITIAL_EJECTION_MS = 5000;
 const MAX_EJECTION_MS = 60_000;
-/** Speeds are compared at most this often, as a comparison sorts them. */
+/** Groups are compared at most this often, as a comparison sorts them. */
 const COMPARISON_INTERVAL_MS = 250;
 
-/** Smoothed time between tokens of each group. */
+/** Compares groups by the smoothed time between their tokens. */
 export class StragglerDetector {
   #clock: Clock;
-  #speeds = new Map<string, Speed>();
+  #speeds = new Map<string, GroupSpeed>();
   #comparedAt = -Infinity;
   #ejected = new Set<string>();
 
@@ -34,8 +34,8 @@
     this.#clock = clock;
   }
 
-  /** Takes one measured gap. */
-  note(group: string, tokenGapMs: number): void {
+  /** Records one measured token gap. */
+  record(group: string, tokenGapMs: number): void {
     const speed = this.#speeds.get(group);
     if (speed === undefined) {
       this.#speeds.set(group, {
@@ -51,8 +51,8 @@
     speed.samples++;
   }
 
-  /** When the group's last ejection ends or ended. */
-  getReturnedAt(group: string): number {
+  /** Time at which the last ejection of a group ends or ended. */
+  getEjectedUntil(group: string): number {
     return this.#speeds.get(group)?.ejectedUntil ?? -Infinity;
   }
 
@@ -62,20 +62,20 @@
     this.#ejected.delete(group);
   }
 
-  /** The candidates without stragglers, never fewer than the floor. */
+  /** Removes stragglers from the candidates, down to the minimum share. */
   filter<Candidate extends { readonly group: string }>(
     candidates: readonly Candidate[],
   ): readonly Candidate[] {
     const now = this.#clock.now();
     if (now - this.#comparedAt >= COMPARISON_INTERVAL_MS) {
       this.#comparedAt = now;
-      this.#compare(now);
+      this.#compareGroups(now);
     }
     if (this.#ejected.size === 0) {
       return candidates;
     }
     const kept = candidates.filter(({ group }) => !this.#ejected.has(group));
-    return kept.length >= candidates.length * CAPACITY_FLOOR
+    return kept.length >= candidates.length * MIN_USABLE_SHARE
       ? kept
       : this.#addFastest(kept, candidates);
   }
@@ -84,40 +84,42 @@
     kept: readonly Candidate[],
     candidates: readonly Candidate[],
   ): readonly Candidate[] {
-    const missing = Math.ceil(candidates.length * CAPACITY_FLOOR) - kept.length;
-    const gapOf = ({ group }: Candidate) => this.#speeds.get(group)!.tokenGapMs;
+    const missing = Math.ceil(candidates.length * MIN_USABLE_SHARE) -
+      kept.length;
+    const getGapMs = ({ group }: Candidate) =>
+      this.#speeds.get(group)!.tokenGapMs;
     const added = candidates
       .filter(({ group }) => this.#ejected.has(group))
-      .sort((a, b) => gapOf(a) - gapOf(b))
+      .sort((a, b) => getGapMs(a) - getGapMs(b))
       .slice(0, missing);
     return [...kept, ...added];
   }
 
-  #compare(now: number): void {
+  #compareGroups(now: number): void {
     const gaps = [...this.#speeds.values()]
       .filter(({ samples }) => samples >= MIN_SAMPLES)
       .map(({ tokenGapMs }) => tokenGapMs)
       .sort((a, b) => a - b);
     const median = gaps[Math.floor((gaps.length - 1) / 2)] ?? 0;
     this.#ejected.clear();
-    const limit = median * STRAGGLER_FACTOR;
+    const maxGapMs = median * STRAGGLER_FACTOR;
     for (const [group, speed] of this.#speeds) {
       if (now < speed.ejectedUntil) {
         this.#ejected.add(group);
-      } else if (speed.samples >= MIN_SAMPLES && speed.tokenGapMs > limit) {
+      } else if (speed.samples >= MIN_SAMPLES && speed.tokenGapMs > maxGapMs) {
         this.#eject(group, speed, now);
       }
     }
   }
 
-  /** After an ejection the group is judged by new samples alone. */
-  #eject(group: string, speed: Speed, now: number): void {
-    const duration = Math.min(
+  /** Ejects a group, which is then judged by new samples alone. */
+  #eject(group: string, speed: GroupSpeed, now: number): void {
+    const durationMs = Math.min(
       MAX_EJECTION_MS,
-      EJECTION_MS * 2 ** speed.ejections,
+      INITIAL_EJECTION_MS * 2 ** speed.ejections,
     );
     speed.ejections++;
-    speed.ejectedUntil = now + duration;
+    speed.ejectedUntil = now + durationMs;
     speed.samples = 0;
     this.#ejected.add(group);
   }
--- a/packages/policy/src/subset.ts
+++ b/packages/policy/src/subset.ts
@@ -1,13 +1,14 @@
 /**
- * The groups that one node probes and routes to, by rendezvous hashing: nodes
- * choose different groups, and a change of one group moves few choices.
+ * Choice of the groups that one node probes and routes to, by rendezvous
+ * hashing: nodes choose different groups, and a change of one group changes few
+ * choices.
  *
  * @module
  */
 import type { GroupState } from "@zinniahill/schema";
 import xxhash from "xxhash-wasm";
 
-/** Orders groups by the preference of one node. */
+/** Chooses the groups of one node. */
 export class Subset {
   #hash: (text: string) => number;
   #node: string;
@@ -25,8 +26,8 @@
 
   /**
    * Chooses `size` groups, those of the node's data centre first. Groups that
-   * are known to be missing stay in the choice, so that their return is seen,
-   * and others stand in for them, at most `size` more.
+   * are known to be missing stay chosen, so that their return is noticed, and
+   * at most `size` more groups are chosen to replace them.
    */
   choose(
     groups: readonly GroupState[],
@@ -59,7 +60,7 @@
   }
 }
 
-/** Creates the choice of a node; the hash function is compiled first. */
+/** Compiles the hash function and creates the subset of a node. */
 export async function createSubset(
   node: string,
   dataCentre: string,
--- a/packages/policy/src/usage-totals.ts
+++ b/packages/policy/src/usage-totals.ts
@@ -1,12 +1,12 @@
 /**
- * Use of client accounts, added up along a tree of nodes.
+ * Usage of client accounts, aggregated along a spanning tree of nodes.
  *
  * @module
  */
 import type { AccountUsage } from "./account-limits.ts";
 
-/** The key under which this node's own use is held; no node's name. */
-const OWN = "\u0000";
+/** Key of this node's own usage; no node has this name. */
+const OWN_LINK = "\u0000";
 
 interface Total {
   requests: number;
@@ -19,41 +19,41 @@
 type Totals = Map<string, Total>;
 
 interface Link {
-  /** Use of this link's side that runs now. */
+  /** Usage with open streams on this link's side. */
   streams: readonly AccountUsage[];
-  /** Use of the other sides that was not sent to this link yet. */
+  /** Usage of all other links that is not yet sent to this one. */
   unsent: Totals;
-  /** Whether the last message named an account. */
+  /** Whether the last message contained an account. */
   hadUsage: boolean;
 }
 
 /**
- * Adds up the use on each side of each link. A link receives the use of all
- * other links and of this node, so that on a tree each use reaches each node
- * once, and a message has one entry for each active account.
+ * Aggregates the usage on each side of each link. A link receives the usage of
+ * all other links and of this node, so that on a tree each usage reaches each
+ * node once, and a message has one entry for each active account.
  */
 export class UsageTotals {
-  #links = new Map<string, Link>([[OWN, createLink()]]);
+  #links = new Map<string, Link>([[OWN_LINK, createLink()]]);
   #parent = "";
 
-  /** Notes what this node's callers used since the last report. */
+  /** Adds the usage of this node's callers since the last report. */
   addOwnUsage(accounts: readonly AccountUsage[]): void {
-    this.#note(OWN, accounts);
+    this.#addUsage(OWN_LINK, accounts);
   }
 
-  /** Notes what a link reports of its side; others are ignored. */
+  /** Adds the usage that a link reports; unknown links are ignored. */
   addLinkUsage(node: string, accounts: readonly AccountUsage[]): void {
-    if (node !== OWN && this.#links.has(node)) {
-      this.#note(node, accounts);
+    if (node !== OWN_LINK && this.#links.has(node)) {
+      this.#addUsage(node, accounts);
     }
   }
 
   /**
-   * Sets the links; the use of one that is gone runs no longer. A new parent is
-   * told what the last one was not.
+   * Sets the links; the streams behind a removed link no longer count. A new
+   * parent receives the usage that was not yet sent to a lost one.
    */
   setLinks(nodes: readonly string[], parent: string): void {
-    const kept = new Set([OWN, ...nodes]);
+    const kept = new Set([OWN_LINK, ...nodes]);
     const unsent = this.#links.get(this.#parent)?.unsent;
     for (const node of this.#links.keys()) {
       if (!kept.has(node)) {
@@ -76,14 +76,14 @@
     }
   }
 
-  /** Takes the use of all other nodes since the last call. */
+  /** Takes the usage of all other nodes since the last call. */
   takeRemoteUsage(): AccountUsage[] | undefined {
-    return this.takeUsageFor(OWN);
+    return this.takeUsageFor(OWN_LINK);
   }
 
   /**
-   * Takes what a link is to be told; undefined when there is no use. An end of
-   * all use is told once.
+   * Takes the usage to send to a link; undefined if there is none. When usage
+   * has ended, an empty list is returned once.
    */
   takeUsageFor(node: string): AccountUsage[] | undefined {
     const link = this.#links.get(node);
@@ -104,12 +104,12 @@
     return isNeeded ? accounts : undefined;
   }
 
-  #note(node: string, accounts: readonly AccountUsage[]): void {
+  #addUsage(node: string, accounts: readonly AccountUsage[]): void {
     const streams = accounts.filter((usage) => usage.streams > 0);
     this.#links.get(node)!.streams = streams;
     for (const [other, link] of this.#links) {
       if (other !== node) {
-        addUse(link.unsent, accounts);
+        addRequestsAndTokens(link.unsent, accounts);
       }
     }
   }
@@ -126,7 +126,10 @@
   return total;
 }
 
-function addUse(totals: Totals, accounts: readonly AccountUsage[]): void {
+function addRequestsAndTokens(
+  totals: Totals,
+  accounts: readonly AccountUsage[],
+): void {
   for (const { account, requests, tokens } of accounts) {
     if (requests !== 0 || tokens !== 0) {
       const total = findTotal(totals, account);
--- a/packages/policy/src/waiter.ts
+++ b/packages/policy/src/waiter.ts
@@ -1,5 +1,5 @@
 /**
- * Requests that wait for a place and requests that hold one.
+ * Requests that wait for a permit and requests that hold one.
  *
  * @module
  */
@@ -10,28 +10,28 @@
 const MIN_RETRY_AFTER_MS = 1000;
 const MAX_RETRY_AFTER_MS = 30_000;
 
-/** A request that waits for a place. */
+/** A request that waits for a permit. */
 export interface Waiter {
   readonly account: string;
   readonly rank: Rank;
   readonly cost: number;
   readonly weight: number;
   readonly expiresAt: number;
-  readonly yields: number;
+  readonly yieldCount: number;
   readonly settle: (result: Result<Permit, Refusal>) => void;
   readonly verdict: Refusal["verdict"];
 }
 
-/** A place that a request holds. */
+/** State of a permit. */
 export interface PermitState {
   readonly waiter: Waiter;
   readonly admittedAt: number;
   readonly priority: number;
-  readonly yielding: AbortController;
+  readonly yieldController: AbortController;
   isHeld: boolean;
   canYield: boolean;
   isReleased: boolean;
-  isFirstTokenSeen: boolean;
+  hasFirstToken: boolean;
 }
 
 /** Creates one value for each rank. */
@@ -42,7 +42,7 @@
 }
 
 /** Creates the refusal of a request whose wait would be too long. */
-export function createOverload(
+export function createOverloadRefusal(
   rank: Rank,
   expectedMs: number,
   verdict: Refusal["verdict"],
@@ -54,7 +54,7 @@
   return new Refusal(
     "overloaded",
     verdict,
-    `the wait for ${rank} requests is past the rank's target`,
+    `the wait of ${rank} requests exceeds the target of the rank`,
     retryAfterMs,
   );
 }
--- a/packages/policy/test/placement.test.ts
+++ b/packages/policy/test/placement.test.ts
@@ -95,7 +95,10 @@
 
     it("takes a domain where no host becomes useless", () => {
       const free = [...createHosts("fd-1", 5), ...createHosts("fd-2", 6)];
-      const context = { sizes: [4, 2], replicas: new Map<string, number>() };
+      const context = {
+        groupSizes: [4, 2],
+        replicaCounts: new Map<string, number>(),
+      };
       const placed = placeGroup(createModel("chat", 2), free, context);
       expect(placed?.fabricDomain).toBe("fd-1");
       const next = placeGroup(createModel("chat", 4), free, context);
@@ -104,10 +107,10 @@
 
     it("keeps replicas apart, so that one switch does not take them all", () => {
       const free = [...createHosts("fd-1", 4), ...createHosts("fd-2", 8)];
-      const replicas = new Map([["fd-1", 1]]);
+      const replicaCounts = new Map([["fd-1", 1]]);
       const placed = placeGroup(createModel("chat", 4), free, {
-        sizes: [4],
-        replicas,
+        groupSizes: [4],
+        replicaCounts,
       });
       expect(placed?.fabricDomain).toBe("fd-2");
     });
@@ -126,7 +129,7 @@
       const total = { best: 0, first: 0, bestPlaced: 0, firstPlaced: 0 };
       for (const seed of SEEDS) {
         const best = fill(seed, (model, free) => {
-          const context = { sizes: SIZES, replicas: new Map() };
+          const context = { groupSizes: SIZES, replicaCounts: new Map() };
           return placeGroup(model, free, context)?.hosts;
         });
         const first = fill(seed, placeFirstFit);
