--- a/packages/policy/test/account-limits.test.ts
+++ b/packages/policy/test/account-limits.test.ts
@@ -51,7 +51,7 @@
       expect(limits!.begin(rule, 10).isOk).toBe(true);
     });
 
-    it("lets an account alone on a node use every stream", () => {
+    it("lets an account use every stream if the node is alone", () => {
       const { nodes: [limits] } = createNodes(1);
       const begun = Array.from({ length: 9 }, () => limits!.begin(rule, 1));
       expect(begun.filter(({ isOk }) => isOk)).toHaveLength(8);
@@ -59,7 +59,7 @@
   });
 
   describe("several nodes", () => {
-    it("charges what a peer reports, once", () => {
+    it("charges a repeated report of a peer only once", () => {
       const { nodes: [one, two] } = createNodes(2);
       countBegun(one!, 1, 6);
       const report = one!.takeReport(accounts);
@@ -68,7 +68,7 @@
       expect(countBegun(two!, 1)).toBe(4);
     });
 
-    it("pays excess back, so that it does not add up", async () => {
+    it("pays excess usage back, so that it does not accumulate", async () => {
       const { clock, nodes: [one, two] } = createNodes(2);
       countBegun(one!, 1);
       countBegun(two!, 1);
@@ -77,7 +77,7 @@
       expect(countBegun(two!, 1)).toBe(0);
     });
 
-    it("gives the streams of a lost peer back", async () => {
+    it("frees the streams of a lost peer", async () => {
       const { clock, nodes: [one, two] } = createNodes(2);
       const report = [{ account: "north", requests: 8, tokens: 8, streams: 8 }];
       two!.applyReport("one", 1, report, accounts);
@@ -90,7 +90,7 @@
   });
 
   describe("memory", () => {
-    it("forgets an account that is idle", async () => {
+    it("forgets an idle account", async () => {
       const { clock, nodes: [limits] } = createNodes(1);
       countBegun(limits!, 1);
       await clock.advance(2000);
--- a/packages/policy/test/admission.test.ts
+++ b/packages/policy/test/admission.test.ts
@@ -23,14 +23,14 @@
   });
   const admit = (rank: Rank, account = "a", signal = createSignal()) =>
     admission.admit({ account, rank, tokens: 100 }, signal);
-  const hold = async (rank: Rank, account = "a"): Promise<Permit> => {
+  const acquire = async (rank: Rank, account = "a"): Promise<Permit> => {
     const permit = await admit(rank, account);
     if (permit.isErr) {
       throw permit.error;
     }
     return permit.value;
   };
-  return { clock, admission, admit, hold };
+  return { clock, admission, admit, acquire };
 }
 
 function createSignal(): AbortSignal {
@@ -39,27 +39,27 @@
 
 describe("Admission", () => {
   describe("ranks", () => {
-    it("does not let a flood of batch delay urgent work", async () => {
-      const { admit, hold } = createAdmission(10);
-      const held = await Promise.all(
-        Array.from({ length: 10 }, () => hold("batch")),
+    it("does not let a flood of batch requests delay urgent ones", async () => {
+      const { admit, acquire } = createAdmission(10);
+      const permits = await Promise.all(
+        Array.from({ length: 10 }, () => acquire("batch")),
       );
       const order: Rank[] = [];
       void admit("batch").then(() => order.push("batch"));
       const urgent = admit("urgent").then(() => order.push("urgent"));
-      held[0]!.release(100);
+      permits[0]!.release(100);
       await urgent;
       expect(order).toEqual(["urgent"]);
     });
 
-    it("does not let a flood of urgent take batch below its floor", async () => {
-      const { admission, admit, hold } = createAdmission(10);
-      const held = await Promise.all(
-        Array.from({ length: 10 }, () => hold("urgent")),
+    it("does not let a flood of urgent requests take batch below its floor", async () => {
+      const { admission, admit, acquire } = createAdmission(10);
+      const permits = await Promise.all(
+        Array.from({ length: 10 }, () => acquire("urgent")),
       );
       void admit("urgent");
       const batch = admit("batch");
-      held[0]!.release(100);
+      permits[0]!.release(100);
       expect((await batch).isOk).toBe(true);
       expect(admission.countWaiting("urgent")).toBe(1);
     });
@@ -67,8 +67,8 @@
 
   describe("capacity", () => {
     it("leaves slots free, so that uneven groups have no queues", async () => {
-      const { admission, admit, hold } = createAdmission(100);
-      await Promise.all(Array.from({ length: 92 }, () => hold("urgent")));
+      const { admission, admit, acquire } = createAdmission(100);
+      await Promise.all(Array.from({ length: 92 }, () => acquire("urgent")));
       void admit("urgent");
       expect(admission.inFlight).toBe(92);
       expect(admission.countWaiting("urgent")).toBe(1);
@@ -77,8 +77,8 @@
 
   describe("refusals", () => {
     it("leaves no request in a queue beyond its rank's target", async () => {
-      const { clock, admit, hold } = createAdmission(1);
-      await hold("urgent");
+      const { clock, admit, acquire } = createAdmission(1);
+      await acquire("urgent");
       const waiting = admit("urgent");
       await clock.advance(750);
       const refused = await waiting;
@@ -88,14 +88,14 @@
       });
     });
 
-    it("refuses at once when the expected wait is past the target", async () => {
-      const { clock, admission, admit, hold } = createAdmission(1);
+    it("refuses at once when the expected wait exceeds the target", async () => {
+      const { clock, admission, admit, acquire } = createAdmission(1);
       for (let served = 0; served < 5; served++) {
-        const permit = await hold("urgent");
+        const permit = await acquire("urgent");
         await clock.advance(1000);
         permit.release(100);
       }
-      await hold("urgent");
+      await acquire("urgent");
       const refused = await admit("urgent");
       expect(refused.isErr && refused.error.verdict).toBe("not-run");
       expect(refused.isErr && refused.error.retryAfterMs).toBeGreaterThan(0);
@@ -103,26 +103,26 @@
     });
 
     it("admits again after a time in which every request was refused", async () => {
-      const { clock, admit, hold } = createAdmission(1);
-      let permit = await hold("urgent");
+      const { clock, admit, acquire } = createAdmission(1);
+      let permit = await acquire("urgent");
       await clock.advance(20_000);
       expect((await admit("urgent")).isErr).toBe(true);
       permit.release(100);
       for (let served = 0; served < 20; served++) {
-        permit = await hold("urgent");
+        permit = await acquire("urgent");
         await clock.advance(100);
         permit.release(100);
       }
-      await hold("urgent");
+      await acquire("urgent");
       const waiting = admit("urgent");
       await clock.advance(1);
       const state = await Promise.race([waiting, Promise.resolve("waiting")]);
       expect(state).toBe("waiting");
     });
 
-    it("frees the queue when a caller goes away", async () => {
-      const { admission, admit, hold } = createAdmission(1);
-      await hold("normal");
+    it("removes a cancelled request from the queue", async () => {
+      const { admission, admit, acquire } = createAdmission(1);
+      await acquire("normal");
       const controller = new AbortController();
       const waiting = admit("normal", "a", controller.signal);
       controller.abort();
@@ -132,11 +132,11 @@
   });
 
   describe("yields", () => {
-    it("takes the place of the youngest batch request for urgent work", async () => {
-      const { admission, admit, hold } = createAdmission(4);
+    it("makes the latest batch request yield to an urgent one", async () => {
+      const { admission, admit, acquire } = createAdmission(4);
       const batch = [];
       for (let index = 0; index < 4; index++) {
-        batch.push(await hold("batch"));
+        batch.push(await acquire("batch"));
       }
       const signals = batch.map(({ yieldSignal }) => yieldSignal);
       expect((await admit("urgent")).isOk).toBe(true);
@@ -145,12 +145,12 @@
       expect(admission.inFlight).toBe(4);
     });
 
-    it("gives a place back to yielded work, and counts it once", async () => {
-      const { admission, hold } = createAdmission(2);
-      await hold("batch");
-      const batch = await hold("batch");
+    it("grants a yielded request a new permit, and counts it once", async () => {
+      const { admission, acquire } = createAdmission(2);
+      await acquire("batch");
+      const batch = await acquire("batch");
       expect(batch.yieldSignal.aborted).toBe(false);
-      const urgent = await hold("urgent");
+      const urgent = await acquire("urgent");
       const resumed = batch.resume(createSignal());
       batch.release(10);
       urgent.release(100);
@@ -158,20 +158,20 @@
       expect(admission.inFlight).toBe(2);
     });
 
-    it("keeps the place of a holder that cannot yield", async () => {
-      const { admission, admit, hold } = createAdmission(2);
-      await hold("batch");
-      await hold("batch");
+    it("revokes no permit whose yield signal was never read", async () => {
+      const { admission, admit, acquire } = createAdmission(2);
+      await acquire("batch");
+      await acquire("batch");
       void admit("urgent");
       expect(admission.countWaiting("urgent")).toBe(1);
     });
 
     it("does not claim that a resumed request was not run", async () => {
-      const { clock, hold } = createAdmission(2);
-      await hold("batch");
-      const batch = await hold("batch");
+      const { clock, acquire } = createAdmission(2);
+      await acquire("batch");
+      const batch = await acquire("batch");
       expect(batch.yieldSignal.aborted).toBe(false);
-      await hold("urgent");
+      await acquire("urgent");
       const resumed = batch.resume(createSignal());
       await clock.advance(10_000);
       const refused = await resumed;
--- a/packages/policy/test/call-reducer.test.ts
+++ b/packages/policy/test/call-reducer.test.ts
@@ -33,7 +33,7 @@
 
 describe("CallReducer", () => {
   describe("the first intent for a key", () => {
-    it("does not give the key to an intent read after its own end", () => {
+    it("does not give the key to an intent read after its own outcome", () => {
       const reducer = new CallReducer(10);
       applyAll(reducer, [createOutcome("x", "not-run"), createIntent("x")]);
       expect(reducer.find("k")).toBeUndefined();
@@ -53,7 +53,7 @@
       expect(reducer.find("k")?.intent).toBe("z");
     });
 
-    it("keeps the holder when its own intent is read twice", () => {
+    it("keeps the first intent when it is read twice", () => {
       const reducer = new CallReducer(10);
       applyAll(reducer, [createIntent("x"), createIntent("x")]);
       expect(reducer.hasEnded("x")).toBe(false);
--- a/packages/policy/test/capacity.test.ts
+++ b/packages/policy/test/capacity.test.ts
@@ -19,7 +19,7 @@
       expect(capacity.totalSlots).toBe(24);
     });
 
-    it("does not take the first steps of a burst for all slots", () => {
+    it("does not infer the slots from the first steps of a burst", () => {
       const capacity = new Capacity();
       capacity.observe(createReports(8, 8), 1, 64);
       capacity.observe(createReports(16, 0), 1, 64);
@@ -39,7 +39,7 @@
       expect(inFlight).toBeLessThanOrEqual(64);
     });
 
-    it("gives borrowed slots back when the groups have queues", () => {
+    it("gives slots above its equal share back when groups have queues", () => {
       const capacity = new Capacity();
       let inFlight = 60;
       for (let report = 0; report < 20; report++) {
@@ -62,9 +62,9 @@
     return new RetryBudget(() => ({ retries: 0.1 }), new SeededRandom(3));
   }
 
-  function countRetries(budget: RetryBudget, firsts: number): number {
+  function countRetries(budget: RetryBudget, firstAttempts: number): number {
     let taken = 0;
-    for (let index = 0; index < firsts; index++) {
+    for (let index = 0; index < firstAttempts; index++) {
       budget.deposit("normal");
       taken += budget.tryWithdraw("normal") ? 1 : 0;
     }
@@ -84,7 +84,7 @@
   });
 
   describe("hedges", () => {
-    it("are for urgent idempotent work only", () => {
+    it("are allowed for urgent idempotent requests only", () => {
       const budget = createBudget();
       expect([
         budget.tryWithdrawHedge("urgent", true),
@@ -94,13 +94,16 @@
     });
   });
 
-  describe("pauses", () => {
-    it("are spread over the whole range, so that retries do not align", () => {
+  describe("backoff", () => {
+    it("is spread over the whole range, so that retries do not align", () => {
       const budget = createBudget();
-      const pauses = Array.from({ length: 200 }, () => budget.drawBackoffMs(4));
-      expect(Math.min(...pauses)).toBeLessThan(40);
-      expect(Math.max(...pauses)).toBeGreaterThan(360);
-      expect(Math.max(...pauses)).toBeLessThanOrEqual(400);
+      const backoffsMs = Array.from(
+        { length: 200 },
+        () => budget.drawBackoffMs(4),
+      );
+      expect(Math.min(...backoffsMs)).toBeLessThan(40);
+      expect(Math.max(...backoffsMs)).toBeGreaterThan(360);
+      expect(Math.max(...backoffsMs)).toBeLessThanOrEqual(400);
     });
   });
 });
--- a/packages/policy/test/control-reducer-repeats.test.ts
+++ b/packages/policy/test/control-reducer-repeats.test.ts
@@ -61,7 +61,7 @@
       expect(restored.drainedHosts.size).toBe(0);
     });
 
-    it("keeps the first decision for whoever asks again", () => {
+    it("returns the first decision of a repeated record", () => {
       const reducer = new ControlReducer();
       reducer.apply(1, createDrain("x", true));
       reducer.apply(2, createDrain("x", true));
--- a/packages/policy/test/departure.test.ts
+++ b/packages/policy/test/departure.test.ts
@@ -27,7 +27,7 @@
 
 describe("findDeparture", () => {
   describe("maintenance", () => {
-    it("begins in time, and not days before the date", () => {
+    it("counts as a departure from the replacement time on, and not earlier", () => {
       const near = NOW + REPLACE_AHEAD_MS;
       expect(findDeparture(HOST, createSources([["h1", near]], [])))
         .toEqual({ at: near });
@@ -35,14 +35,14 @@
         .toBeUndefined();
     });
 
-    it("goes by the earlier date of the host and its domain", () => {
+    it("uses the earlier date of the host and its fabric domain", () => {
       const sources = createSources([["h1", NOW + 500], ["fd-1", NOW + 9]], []);
       expect(findDeparture(HOST, sources)).toEqual({ at: NOW + 9 });
     });
   });
 
   describe("a host that the platform takes away", () => {
-    it("goes at once even when its date is unreadable", () => {
+    it("leaves as soon as possible when its date is unreadable", () => {
       const leaving = { ...HOST, state: "leaving" as const, leavesAt: "soon" };
       expect(findDeparture(leaving, createSources([], [])))
         .toEqual({ at: undefined });
--- a/packages/policy/test/entry-node.test.ts
+++ b/packages/policy/test/entry-node.test.ts
@@ -37,7 +37,7 @@
       expect(a / b).toBeLessThan(4.5);
     });
 
-    it("does not send everybody to the node with the least load", () => {
+    it("does not send every caller to the node with the least load", () => {
       const counts = countChoices([
         createEntry("a", "dc-1", 0.1),
         createEntry("b", "dc-1", 0.11),
@@ -56,7 +56,7 @@
       expect(counts).toEqual({ a: DRAWS });
     });
 
-    it("turns to other data centres when the caller's own is full", () => {
+    it("uses other data centres when the caller's own is full", () => {
       const { b = 0 } = countChoices([
         createEntry("a", "dc-1", 1.2),
         createEntry("b", "dc-2", 0),
@@ -64,7 +64,7 @@
       expect(b).toBeGreaterThan(DRAWS / 2);
     });
 
-    it("answers a caller whose data centre has no node", () => {
+    it("directs a caller whose data centre has no node", () => {
       const counts = countChoices([createEntry("a", "dc-1", 0)], "dc-9");
       expect(counts).toEqual({ a: DRAWS });
     });
--- a/packages/policy/test/fair-queue.test.ts
+++ b/packages/policy/test/fair-queue.test.ts
@@ -20,7 +20,7 @@
       expect(queue.take()!.account).toBe("small");
     });
 
-    it("keeps a new account in front after large ones were corrected", () => {
+    it("keeps a new account in front after charges of another were corrected", () => {
       const queue = new FairQueue<QueuedItem>();
       const taken = [];
       for (let index = 0; index < 100; index++) {
@@ -51,7 +51,7 @@
       expect(tokens.three / tokens.one).toBeCloseTo(3, 1);
     });
 
-    it("charges the real tokens, not those that were asked for", () => {
+    it("charges the real tokens, not the requested ones", () => {
       const queue = new FairQueue<QueuedItem>();
       const real = { short: 10, long: 100 };
       const tokens = { short: 0, long: 0 };
@@ -70,7 +70,7 @@
   });
 
   describe("memory", () => {
-    it("keeps no account and no item once all has ended", () => {
+    it("keeps no account and no item once all items have ended", () => {
       fc.assert(
         fc.property(
           fc.array(fc.tuple(fc.nat(20), fc.integer({ min: 1, max: 200 }))),
--- a/packages/policy/test/load-balancer.test.ts
+++ b/packages/policy/test/load-balancer.test.ts
@@ -55,7 +55,7 @@
       expect([...counts.keys()].sort()).toEqual(["g0", "g1"]);
     });
 
-    it("leaves it when its groups have far more work than others", () => {
+    it("leaves it when its groups have far more load than others", () => {
       const { routing } = createRouting();
       for (let index = 0; index < 20; index++) {
         routing.begin("g0");
@@ -77,7 +77,7 @@
   });
 
   describe("load", () => {
-    it("counts work sent after a report, and does not send a burst on", () => {
+    it("counts requests sent after a report, so that no burst follows", () => {
       const { routing } = createRouting();
       const candidates = createCandidates(2)
         .map((one, index) => ({ ...one, reportedLoad: index === 0 ? 5 : 6 }));
@@ -88,7 +88,7 @@
       expect(routing.countOutstanding("g1")).toBeGreaterThan(7);
     });
 
-    it("gives a new group little work at first", async () => {
+    it("sends a new group few requests at first", async () => {
       const { clock, routing } = createRouting();
       const old = createCandidates(3);
       countChoices(routing, old);
@@ -117,7 +117,7 @@
       expect(counts.has("g0")).toBe(false);
     });
 
-    it("takes it back once it is no longer slow", async () => {
+    it("uses it again once it is no longer slow", async () => {
       const { clock, routing } = createRouting();
       const candidates = createCandidates(10);
       countChoices(routing, candidates);
@@ -128,7 +128,7 @@
       expect(countChoices(routing, candidates).has("g0")).toBe(true);
     });
 
-    it("never ejects so many that capacity falls below the floor", () => {
+    it("never ejects so many that too few stay in use", () => {
       const { routing } = createRouting();
       noteGaps(routing, 4);
       const counts = countChoices(routing, createCandidates(10));
@@ -157,7 +157,7 @@
       expect(new Set(again)).toEqual(new Set([first]));
     });
 
-    it("does not overload a group for the sake of a prefix", () => {
+    it("does not overload a group that holds a prefix", () => {
       const { routing } = createRouting();
       const candidates = createCandidates(8);
       const first = routing.choose(request, candidates)!.group;
@@ -186,14 +186,14 @@
   });
 
   describe("cache events", () => {
-    it("drops what the engine has removed", () => {
+    it("drops a prefix that the engine has removed", () => {
       const index = new PrefixIndex();
       index.recordPrompt("g", ["a", "b"]);
       index.applyCacheEvent("g", { removed: ["b"] });
       expect(index.match("g", ["a", "b"])).toBe(1);
     });
 
-    it("survives an event of something it does not know", () => {
+    it("accepts an event about an unknown prefix", () => {
       const index = new PrefixIndex();
       index.applyCacheEvent("g", { removed: ["x"], stored: ["a"] });
       expect(index.match("g", ["a"])).toBe(1);
--- a/packages/policy/test/placement.test.ts
+++ b/packages/policy/test/placement.test.ts
@@ -50,14 +50,14 @@
   };
 }
 
-/** Takes the first domain in list order that has enough hosts. */
+/** Takes the first fabric domain in list order that has enough hosts. */
 function placeFirstFit(
   model: ModelRule,
   free: readonly Host[],
 ): readonly Host[] | undefined {
-  const domains = new Set(free.map(({ fabricDomain }) => fabricDomain));
-  for (const domain of domains) {
-    const hosts = free.filter(({ fabricDomain }) => fabricDomain === domain);
+  const fabricDomains = new Set(free.map(({ fabricDomain }) => fabricDomain));
+  for (const name of fabricDomains) {
+    const hosts = free.filter(({ fabricDomain }) => fabricDomain === name);
     if (hosts.length >= model.hosts) {
       return hosts.slice(0, model.hosts);
     }
@@ -65,7 +65,7 @@
   return undefined;
 }
 
-/** Places groups of mixed sizes, and returns what is left over. */
+/** Places groups of mixed sizes and counts the stranded accelerators. */
 function fill(
   seed: number,
   place: (model: ModelRule, free: Host[]) => readonly Host[] | undefined,
@@ -88,12 +88,12 @@
 
 describe("placeGroup", () => {
   describe("fabric domains", () => {
-    it("never spreads a group over two domains, which would be slow", () => {
+    it("never spreads a group over two fabric domains, which would be slow", () => {
       const free = [...createHosts("fd-1", 3), ...createHosts("fd-2", 3)];
       expect(placeGroup(createModel("chat", 4), free)).toBeUndefined();
     });
 
-    it("takes a domain where no host becomes useless", () => {
+    it("chooses a fabric domain where no host becomes stranded", () => {
       const free = [...createHosts("fd-1", 5), ...createHosts("fd-2", 6)];
       const context = {
         groupSizes: [4, 2],
@@ -115,7 +115,7 @@
       expect(placed?.fabricDomain).toBe("fd-2");
     });
 
-    it("leaves a spare beside the group when another domain would not", () => {
+    it("prefers a fabric domain where a spare remains", () => {
       const free = [...createHosts("fd-1", 4), ...createHosts("fd-2", 5)];
       const model = { ...createModel("chat", 4), spares: 1 };
       expect(placeGroup(model, free)?.fabricDomain).toBe("fd-2");
@@ -173,7 +173,7 @@
       expect(listPlaces(planned)).toEqual(["dc-1", "dc-2", "dc-3"]);
     });
 
-    it("give one missing replica to one of two, whatever the list order", () => {
+    it("place one missing replica in the same one, whatever the list order", () => {
       const groups = [createGroup("a", { dataCentre: "dc-1" })];
       const plan = (freeHosts: Host[]) =>
         listPlaces(planGroups({
@@ -185,7 +185,7 @@
       expect(plan([...dc3, ...dc2])).toEqual(["dc-2"]);
     });
 
-    it("make up for a dark data centre", () => {
+    it("replace the replicas of a data centre without hosts", () => {
       const planned = planGroups({
         models: [createModel("chat", 4, 2)],
         groups: [createGroup("a", { dataCentre: "dc-2" })],
