--- a/packages/relay/src/adapter.ts
+++ b/packages/relay/src/adapter.ts
@@ -152,7 +152,7 @@
   /** Returns headers for the upstream as alternating names and values. */
   createForwardHeaders(
     request: IncomingMessage,
-    facts: ForwardMetadata,
+    metadata: ForwardMetadata,
   ): string[];
   parseResponse(headers: ReadonlyMap<string, string>): ResponseMetadata;
 }
--- a/packages/relay/src/entry/capacity-monitor.ts
+++ b/packages/relay/src/entry/capacity-monitor.ts
@@ -62,9 +62,7 @@
     return this.#tasks.stop();
   }
 
-  /**
-   * Share of a CPU core that is available to callers; comparable across nodes.
-   */
+  /** Share of a CPU core available to callers, comparable across nodes. */
   get capacity(): number {
     return this.#coreShare * this.#callerShare;
   }
@@ -85,11 +83,11 @@
 
   #endWindow(): void {
     const before = this.#callerShare;
-    const isLate = this.#lateTicks >= TICKS_PER_WINDOW * LATE_TICK_SHARE;
-    this.#callerShare = isLate
+    const isOverloaded = this.#lateTicks >= TICKS_PER_WINDOW * LATE_TICK_SHARE;
+    this.#callerShare = isOverloaded
       ? Math.max(MIN_CALLER_SHARE, before * DECREASE_FACTOR)
       : Math.min(1, before + INCREASE_STEP);
-    if (isLate || (before < 1 && this.#callerShare === 1)) {
+    if (isOverloaded || (before < 1 && this.#callerShare === 1)) {
       this.#logger.info("intake_changed", {
         share: this.#callerShare,
         before,
--- a/packages/relay/src/gauges.ts
+++ b/packages/relay/src/gauges.ts
@@ -15,8 +15,8 @@
     const groups = kernel.find("groups");
     const mesh = kernel.find("mesh");
     const holder = kernel.find("holder");
-    const front = kernel.find("front");
-    const intake = kernel.find("intake");
+    const publicServer = kernel.find("front");
+    const capacityMonitor = kernel.find("intake");
     const placement = kernel.find("placement");
     this.#gauges = {
       configuration_age_ms: [
@@ -46,11 +46,11 @@
       ],
       capacity: [
         "Share of a core that is free for callers; lower while turns run late",
-        () => intake.capacity,
+        () => capacityMonitor.capacity,
       ],
       requests_in_flight: [
         "Requests that have not ended",
-        () => front.inFlight,
+        () => publicServer.inFlight,
       ],
     };
     const metrics = kernel.find("metrics");
--- a/packages/relay/src/graceful-shutdown.ts
+++ b/packages/relay/src/graceful-shutdown.ts
@@ -5,7 +5,7 @@
  */
 import type { RelayKernel } from "./services.ts";
 
-/** Some callers cache a lookup result this many times longer than allowed. */
+/** Some callers cache a lookup result for this multiple of its validity. */
 const LOOKUP_VALIDITY_FACTOR = 3;
 /** Time for the last callers to move to other nodes. */
 const CALLER_MOVE_MS = 200;
@@ -21,11 +21,11 @@
   const clock = node.find("clock");
   const logger = node.find("logger");
   const lifecycle = node.find("lifecycle");
-  const front = node.find("front");
+  const publicServer = node.find("front");
   const { limits } = node.find("settings");
   const deadlineAt = clock.now() + limits.gracePeriodMs - KILL_MARGIN_MS;
   lifecycle.drain();
-  logger.info("node_draining", { in_flight: front.inFlight });
+  logger.info("node_draining", { in_flight: publicServer.inFlight });
   await clock.sleep(
     Math.min(
       limits.lookupValidityMs * LOOKUP_VALIDITY_FACTOR + CALLER_MOVE_MS,
@@ -33,10 +33,10 @@
     ),
   );
   lifecycle.close();
-  front.stopListening();
-  while (front.inFlight > 0 && clock.now() < deadlineAt) {
+  publicServer.stopListening();
+  while (publicServer.inFlight > 0 && clock.now() < deadlineAt) {
     await clock.sleep(POLL_INTERVAL_MS);
   }
-  logger.info("node_stopped", { in_flight: front.inFlight });
+  logger.info("node_stopped", { in_flight: publicServer.inFlight });
   await node.stop();
 }
--- a/packages/relay/src/hosts/groups.ts
+++ b/packages/relay/src/hosts/groups.ts
@@ -92,7 +92,7 @@
     return groups.filter((group) => !this.isSuspected(group));
   }
 
-  /** Returns a group, if it has a listed member. */
+  /** Returns the group of that name and epoch, if it has a listed member. */
   find(name: string, epoch: number): Group | undefined {
     this.#refresh();
     return this.#groups.get(createGroupKey(name, epoch));
--- a/packages/relay/src/hosts/instances.ts
+++ b/packages/relay/src/hosts/instances.ts
@@ -86,9 +86,7 @@
     return this.#instances.get(id);
   }
 
-  /**
-   * Lists the members of a group that were unlisted recently without draining.
-   */
+  /** Lists recently unlisted members of a group that were not draining. */
   listDeparted(group: string, epoch: number): Instance[] {
     return [...this.#departed.values()]
       .map(({ instance }) => instance)
--- a/packages/relay/src/lifecycle.ts
+++ b/packages/relay/src/lifecycle.ts
@@ -28,10 +28,7 @@
     return this.#phase === "serving";
   }
 
-  /**
-   * Whether a graceful shutdown has begun; until it closes, requests are
-   * served.
-   */
+  /** Whether a graceful shutdown has begun; requests are served until `close`. */
   get isDraining(): boolean {
     return this.#phase === "draining" || this.#phase === "closing";
   }
@@ -46,7 +43,7 @@
     this.#listeners.add(listener);
   }
 
-  /** Begins to serve, as the node has its initial state. */
+  /** Begins to serve, once the node has its initial state. */
   serve(): void {
     this.#machine.send("serve");
   }
--- a/packages/relay/src/model/configuration.ts
+++ b/packages/relay/src/model/configuration.ts
@@ -5,13 +5,9 @@
  */
 import * as z from "zod";
 
-/**
- * Whether a request may be repeated freely, runs at most once, or is a stream.
- */
+/** Whether a request may be repeated, runs at most once, or is a stream. */
 export const RequestKind = z.enum(["idempotent", "once", "stream"]);
-/**
- * Whether a request may be repeated freely, runs at most once, or is a stream.
- */
+/** Whether a request may be repeated, runs at most once, or is a stream. */
 export type RequestKind = z.infer<typeof RequestKind>;
 
 /** A service behind a route, with its share of the requests. */
@@ -38,10 +34,9 @@
   rank: z.number(),
   /** Maximum number of upstream instances that one request is sent to. */
   maxAttempts: z.number(),
+  /** Whether requests need no API key. */
   isAnonymous: z.boolean(),
-  /**
-   * Whether a stream may be resumed at another instance after its last event.
-   */
+  /** Whether a stream may resume at another instance after its last event. */
   isResumable: z.boolean(),
   destinations: z.array(Destination),
 });
@@ -78,6 +73,7 @@
   /** Maximum number of prompt tokens that one step processes. */
   chunkTokens: z.number(),
   maxLoadsPerSecond: z.number(),
+  /** Number of concurrent loads that all run at full speed. */
   concurrentLoads: z.number(),
   /** Time from the order `open` until the group serves requests. */
   openMs: z.number(),
--- a/packages/relay/src/model/order.ts
+++ b/packages/relay/src/model/order.ts
@@ -37,9 +37,7 @@
   "conflict",
   /** The engine has seen a later fencing number or epoch. */
   "fenced",
-  /**
-   * The engine does not know the order, or another process uses its address.
-   */
+  /** The engine does not know the order, or another process has its address. */
   "refused",
 ]);
 /** Reply of an engine to an order. */
--- a/packages/relay/src/relay-settings.ts
+++ b/packages/relay/src/relay-settings.ts
@@ -23,9 +23,7 @@
     gracePeriodMs: z.number(),
     /** How long callers may cache a lookup result. */
     lookupValidityMs: z.number(),
-    /**
-     * Time after which an engine abandons work that waits for a lost member.
-     */
+    /** Time after which an engine abandons work waiting for a lost member. */
     stallMs: z.number(),
     memoryBytes: z.number(),
   }),
--- a/packages/relay/src/serving/attempts.ts
+++ b/packages/relay/src/serving/attempts.ts
@@ -218,9 +218,10 @@
     { instance }: Choice,
     lastEventId: string | undefined,
   ) {
-    const leftMs = request.deadlineAt - this.#clock.now() - RESPONSE_MARGIN_MS;
+    const remainingMs = request.deadlineAt - this.#clock.now() -
+      RESPONSE_MARGIN_MS;
     const headers = this.#headerCodec.createForwardHeaders(request.incoming, {
-      deadlineMs: Math.max(1, Math.floor(leftMs)),
+      deadlineMs: Math.max(1, Math.floor(remainingMs)),
       instance: instance.id,
       account: request.account?.name,
       priority: request.service.engine === undefined
--- a/packages/relay/src/serving/exchange.ts
+++ b/packages/relay/src/serving/exchange.ts
@@ -67,7 +67,7 @@
           // A caller disconnect that is read in the same event loop turn is
           // handled first, so that its request is not sent.
           setImmediate(() => {
-            // On failure, undici passes an undefined socket instead of null.
+            // With a failure, undici passes no socket argument, not even null.
             if (result[0] === null && result[1] !== null && !this.#isClosed) {
               this.#watch(result[1]);
             }
@@ -103,7 +103,7 @@
       });
       const rawHeaders = convertRawHeaders(response.headers);
       const headers = indexHeaders(rawHeaders);
-      // A body that is discarded unread emits an error.
+      // Ignores the error that a body emits when it is discarded unread.
       response.body.on("error", () => {});
       return Result.ok({
         status: response.statusCode,
@@ -152,9 +152,7 @@
     };
   }
 
-  /**
-   * Closes the connection immediately, which also aborts the upstream's work.
-   */
+  /** Closes the connection at once, which also aborts the upstream's work. */
   close(reason: Error): void {
     if (!this.#isClosed) {
       this.#controller.abort(reason);
@@ -174,10 +172,10 @@
   return Array.isArray(headers) ? headers.map(String) : [];
 }
 
-function indexHeaders(raw: readonly string[]): Map<string, string> {
+function indexHeaders(rawHeaders: readonly string[]): Map<string, string> {
   const headers = new Map<string, string>();
-  for (let index = 0; index + 1 < raw.length; index += 2) {
-    headers.set(raw[index]!.toLowerCase(), raw[index + 1]!);
+  for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
+    headers.set(rawHeaders[index]!.toLowerCase(), rawHeaders[index + 1]!);
   }
   return headers;
 }
--- a/packages/relay/src/serving/headers.ts
+++ b/packages/relay/src/serving/headers.ts
@@ -20,33 +20,33 @@
 
 /** Returns the headers that may be forwarded, without those in `dropped`. */
 export function filterHeaders(
-  raw: readonly string[],
+  rawHeaders: readonly string[],
   dropped: ReadonlySet<string>,
 ): string[] {
-  const connectionOptions = listConnectionOptions(raw);
+  const connectionOptions = listConnectionOptions(rawHeaders);
   const kept: string[] = [];
-  for (let at = 0; at + 1 < raw.length; at += 2) {
-    const name = raw[at]!.toLowerCase();
+  for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
+    const name = rawHeaders[index]!.toLowerCase();
     const isKept = !HOP_BY_HOP_HEADERS.has(name) &&
       !connectionOptions.has(name) &&
       !dropped.has(name);
     if (isKept) {
-      kept.push(raw[at]!, raw[at + 1]!);
+      kept.push(rawHeaders[index]!, rawHeaders[index + 1]!);
     }
   }
   return kept;
 }
 
 /** Counts the bytes of all names and values with their separators. */
-export function countHeaderBytes(raw: readonly string[]): number {
-  return raw.reduce((sum, part) => sum + part.length + 2, 0);
+export function countHeaderBytes(rawHeaders: readonly string[]): number {
+  return rawHeaders.reduce((sum, part) => sum + part.length + 2, 0);
 }
 
-function listConnectionOptions(raw: readonly string[]): Set<string> {
+function listConnectionOptions(rawHeaders: readonly string[]): Set<string> {
   const options = new Set<string>();
-  for (let at = 0; at + 1 < raw.length; at += 2) {
-    if (raw[at]!.toLowerCase() === "connection") {
-      raw[at + 1]!.split(",").forEach((option) =>
+  for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
+    if (rawHeaders[index]!.toLowerCase() === "connection") {
+      rawHeaders[index + 1]!.split(",").forEach((option) =>
         options.add(option.trim().toLowerCase())
       );
     }
--- a/packages/relay/src/serving/public-server.ts
+++ b/packages/relay/src/serving/public-server.ts
@@ -186,7 +186,7 @@
       upstream_load: delivered.upstreamLoad,
       status: delivered.status,
       attempts: request.sentTo.size,
-      events: delivered.events,
+      events: delivered.eventCount,
       longest_gap_ms: Math.round(delivered.longestGapMs),
       first_ms: Math.round(delivered.firstByteAt - receivedAt),
       total_ms: Math.round(now - receivedAt),
--- a/packages/relay/src/serving/request-handlers.ts
+++ b/packages/relay/src/serving/request-handlers.ts
@@ -35,7 +35,7 @@
   readonly status: number;
   /** When the first byte was written to the caller. */
   readonly firstByteAt: number;
-  readonly events: number;
+  readonly eventCount: number;
   /** Longest time between two events; 0 for a buffered response. */
   readonly longestGapMs: number;
 }
@@ -56,7 +56,7 @@
 interface StreamProgress {
   lastEventId: string | undefined;
   firstByteAt: number | undefined;
-  events: number;
+  eventCount: number;
   status: number;
   lastEventAt: number | undefined;
   longestGapMs: number;
@@ -154,7 +154,7 @@
       ...source,
       status: upstreamResponse.status,
       firstByteAt,
-      events: 0,
+      eventCount: 0,
       longestGapMs: 0,
     };
   }
@@ -167,7 +167,7 @@
     const progress: StreamProgress = {
       lastEventId: request.metadata.lastEventId,
       firstByteAt: undefined,
-      events: 0,
+      eventCount: 0,
       status: OK_STATUS,
       lastEventAt: undefined,
       longestGapMs: 0,
@@ -196,7 +196,7 @@
       } catch (failure) {
         request.mayHaveRun = true;
         const { message } = attempt.exchange.createFault(failure);
-        this.#logInterruption(request, attempt, message, progress.events);
+        this.#logInterruption(request, attempt, message, progress.eventCount);
         const refusal = this.#decideAfterInterruption(request, message);
         if (refusal !== undefined) {
           return Result.err(refusal);
@@ -226,7 +226,7 @@
         writeStreamHead(response, upstreamResponse);
       }
       this.#recordEvents(progress);
-      progress.events += block.count;
+      progress.eventCount += block.count;
       progress.lastEventId = block.lastId ?? progress.lastEventId;
       response.write(block.bytes);
     }
@@ -256,7 +256,7 @@
     source: ResponseSource,
   ): Promise<Outcome> {
     const chunks = await collectBody(upstreamResponse.body);
-    if (progress.events > 0) {
+    if (progress.eventCount > 0) {
       return Result.err(
         new Refusal(
           "upstream-unavailable",
--- a/packages/relay/src/serving/response-writer.ts
+++ b/packages/relay/src/serving/response-writer.ts
@@ -45,9 +45,7 @@
   writeHead(response, status, filterHeaders(rawHeaders, LENGTH_HEADERS));
 }
 
-/**
- * Writes a refusal; if the response has begun, closes the connection instead.
- */
+/** Writes a refusal, or closes the connection if the response has begun. */
 export function writeRefusal(response: ServerResponse, refusal: Refusal): void {
   if (response.destroyed) {
     return;
--- a/packages/relay/test/relay-metrics.test.ts
+++ b/packages/relay/test/relay-metrics.test.ts
@@ -11,7 +11,7 @@
   group: "large~7",
   load: 10,
   upstreamLoad: 34,
-  events: 3,
+  eventCount: 3,
 };
 
 describe("RelayMetrics", () => {
--- a/packages/relay/test/serving/exchange.test.ts
+++ b/packages/relay/test/serving/exchange.test.ts
@@ -127,7 +127,7 @@
   });
 
   describe("a caller that disconnects during the connection setup", () => {
-    it("has no request sent, even if both complete in the same event loop turn", async () => {
+    it("has no request sent, even if the setup completes in the same turn", async () => {
       const requests: string[] = [];
       const address = await listen((socket) => {
         requests.push("request");
