--- a/packages/relay/src/placement/unlisted-leads.ts
+++ b/packages/relay/src/placement/unlisted-leads.ts
@@ -47,7 +47,7 @@
   /** Judges a group that has no listed lead. */
   getStatus({ name }: Group): LeadStatus {
     const lead = parseGroupLead(name);
-    if (this.#feeds.reachableMs("instances") < RELISTING_MS) {
+    if (this.#feeds.sinceOutageMs("instances") < RELISTING_MS) {
       return "may-return";
     }
     // A lead that is listed without the group has left it.
--- a/packages/relay/src/serving/attempts.ts
+++ b/packages/relay/src/serving/attempts.ts
@@ -7,9 +7,12 @@
 import { Refusal, type Verdict } from "@zinniahill/schema";
 import { Result } from "true-myth";
 import type { HeaderCodec, ResponseMetadata } from "../adapter.ts";
-import type { Choice, Dispatcher } from "../routing/dispatcher.ts";
-import type { Outstanding, Ticket } from "../routing/outstanding.ts";
-import { RepeatBudget } from "../routing/repeat-budget.ts";
+import type { Dispatcher, Selection } from "../routing/dispatcher.ts";
+import type {
+  OutstandingRequest,
+  OutstandingRequests,
+} from "../routing/outstanding-requests.ts";
+import { RetryBudget } from "../routing/retry-budget.ts";
 import type { RelayKernel } from "../services.ts";
 import {
   type AttemptFault,
@@ -21,9 +24,9 @@
 
 /** An attempt whose response head has arrived. */
 export interface OpenAttempt {
-  readonly choice: Choice;
+  readonly choice: Selection;
   readonly exchange: Exchange;
-  readonly ticket: Ticket;
+  readonly ticket: OutstandingRequest;
   readonly upstreamResponse: UpstreamResponse;
   readonly responseMetadata: ResponseMetadata;
   /** Ends the attempt and aborts the upstream's work if it is still running. */
@@ -51,8 +54,8 @@
   #logger: Logger;
   #headerCodec: HeaderCodec;
   #dispatcher: Dispatcher;
-  #outstanding: Outstanding;
-  #retryBudget: RepeatBudget;
+  #outstanding: OutstandingRequests;
+  #retryBudget: RetryBudget;
 
   constructor(kernel: RelayKernel) {
     this.#clock = kernel.find("clock");
@@ -61,7 +64,7 @@
     this.#dispatcher = kernel.find("dispatcher");
     this.#outstanding = kernel.find("outstanding");
     const mesh = kernel.find("mesh");
-    this.#retryBudget = new RepeatBudget(
+    this.#retryBudget = new RetryBudget(
       this.#clock,
       kernel.find("settings").retries,
       () => mesh.countNodes(),
@@ -115,7 +118,7 @@
     { service, route, sentTo, deadlineAt }: RelayedRequest,
   ): boolean {
     return sentTo.size < route.maxAttempts && this.#clock.now() < deadlineAt &&
-      this.#retryBudget.tryTake(service.name);
+      this.#retryBudget.tryWithdraw(service.name);
   }
 
   dump(): unknown {
@@ -125,22 +128,22 @@
   #choose(
     request: RelayedRequest,
     excluded: ReadonlySet<string> = request.sentTo,
-  ): Result<Choice, Refusal> {
+  ): Result<Selection, Refusal> {
     const { service, metadata, rank, route } = request;
-    return this.#dispatcher.choose({
+    return this.#dispatcher.select({
       service,
       model: metadata.model,
       rank,
       targetMs: route.targetMs,
       excluded,
-      isContinued: request.mayHaveRun,
+      mayHaveRun: request.mayHaveRun,
     });
   }
 
   /** Makes one attempt, up to the response head. */
   async #send(
     request: RelayedRequest,
-    choice: Choice,
+    choice: Selection,
     lastEventId: string | undefined,
   ): Promise<Result<OpenAttempt, AttemptFault>> {
     const { instance, group } = choice;
@@ -176,7 +179,7 @@
       onDisconnect();
     }
     if (request.sentTo.size === 0) {
-      this.#retryBudget.noteFirst(request.service.name);
+      this.#retryBudget.deposit(request.service.name);
     }
     const sent = await exchange.send(
       this.#createRequest(request, choice, lastEventId),
@@ -186,7 +189,7 @@
     }
     if (sent.isErr) {
       if (!exchange.hasConnected) {
-        this.#dispatcher.noteUnreachable(instance);
+        this.#dispatcher.markUnreachable(instance);
       }
       end(ATTEMPT_ENDED);
       return Result.err(sent.error);
@@ -198,7 +201,7 @@
     const fault = findFault(request, upstreamResponse, responseMetadata);
     if (fault !== undefined) {
       if (upstreamResponse.status === MISDIRECTED_STATUS) {
-        this.#dispatcher.noteMisdirected(choice);
+        this.#dispatcher.markMisdirected(choice);
       }
       end(ATTEMPT_ENDED);
       return Result.err(fault);
@@ -215,7 +218,7 @@
 
   #createRequest(
     request: RelayedRequest,
-    { instance }: Choice,
+    { instance }: Selection,
     lastEventId: string | undefined,
   ) {
     const remainingMs = request.deadlineAt - this.#clock.now() -
@@ -242,7 +245,7 @@
   }
 
   /** Whether another group has room for a request of a stalled group. */
-  #hasOtherGroup(request: RelayedRequest, { instance }: Choice): boolean {
+  #hasOtherGroup(request: RelayedRequest, { instance }: Selection): boolean {
     const { route, sentTo } = request;
     const excluded = new Set([...sentTo, instance.id]);
     return excluded.size < route.maxAttempts &&
@@ -280,7 +283,7 @@
 
   #logFault(
     request: RelayedRequest,
-    { instance, group, load }: Choice,
+    { instance, group, load }: Selection,
     { verdict, message }: AttemptFault,
   ): void {
     this.#logger.info("attempt_failed", {
--- a/packages/relay/src/serving/request-handlers.ts
+++ b/packages/relay/src/serving/request-handlers.ts
@@ -217,7 +217,7 @@
       progress.lastEventId ?? metadata.lastEventId,
     );
     for await (const chunk of upstreamResponse.body) {
-      ticket.noteProgress();
+      ticket.recordEvent();
       const block = splitter.push(chunk);
       if (block === undefined) {
         continue;
--- a/packages/relay/src/serving/request-reader.ts
+++ b/packages/relay/src/serving/request-reader.ts
@@ -55,7 +55,7 @@
     }
     const route = this.#findRoute(table, metadata);
     const account = this.#findAccount(table, route, metadata);
-    const service = table.drawService(route, this.#random);
+    const service = table.pickService(route, this.#random);
     if (service === undefined) {
       throw new Refusal(
         "no-upstream",
@@ -90,8 +90,8 @@
   }
 
   #findTable(): RouteTable {
-    const { table } = this.#configuration;
-    if (table === undefined) {
+    const { routeTable } = this.#configuration;
+    if (routeTable === undefined) {
       throw new Refusal(
         "no-configuration",
         "not-run",
@@ -99,7 +99,7 @@
         CONFIGURATION_RETRY_AFTER_MS,
       );
     }
-    return table;
+    return routeTable;
   }
 
   #findRoute(table: RouteTable, { host, target }: RequestMetadata): Route {
