--- a/packages/node/src/state/checkpoints.ts
+++ b/packages/node/src/state/checkpoints.ts
@@ -85,11 +85,11 @@
     const { control, checkpoint, isCaughtUp } = this.#state;
     const age = {
       entries: control.asOf - checkpoint.asOf,
-      ms: this.#clock.now() - checkpoint.readAt,
+      elapsedMs: this.#clock.now() - checkpoint.readAt,
     };
     return isCaughtUp && control.asOf > 0 && isCheckpointDue(age, {
       entries: this.#settings.limits["checkpoint-records"],
-      ms: this.#settings.timing["checkpoint-interval"],
+      elapsedMs: this.#settings.timing["checkpoint-interval"],
     });
   }
 
--- a/packages/policy/src/account-limits.ts
+++ b/packages/policy/src/account-limits.ts
@@ -181,10 +181,10 @@
   }
 
   #computeWaitMs(rule: AccountRule, bucket: Bucket): number {
-    const requestWait = (1 - bucket.availableRequests) / rule.requests * 1000;
-    const tokenWait = (1 - bucket.availableTokens) / rule.tokens * 1000;
-    const streamWait = this.#hasFreeStream(rule, bucket) ? 0 : BURST_MS;
-    return Math.max(requestWait, tokenWait, streamWait);
+    const requestWaitMs = (1 - bucket.availableRequests) / rule.requests * 1000;
+    const tokenWaitMs = (1 - bucket.availableTokens) / rule.tokens * 1000;
+    const streamWaitMs = this.#hasFreeStream(rule, bucket) ? 0 : BURST_MS;
+    return Math.max(requestWaitMs, tokenWaitMs, streamWaitMs);
   }
 
   #hasFreeStream(rule: AccountRule, bucket: Bucket): boolean {
@@ -200,15 +200,15 @@
       users += running?.users ?? 0;
       remoteStreams += running?.count ?? 0;
     }
-    const free = rule.streams - remoteStreams - bucket.reportedStreams;
+    const freeStreams = rule.streams - remoteStreams - bucket.reportedStreams;
     // A peer without streams of the account may open some at the same time, so
     // a node takes all free streams only if it is alone.
     const parts = Math.max(
       users,
       Math.min(MIN_STREAM_PARTS, this.#countNodes()),
     );
-    const growth = Math.ceil(Math.max(0, free) / parts);
-    const allowed = bucket.reportedStreams + growth;
+    const newStreams = Math.ceil(Math.max(0, freeStreams) / parts);
+    const allowed = bucket.reportedStreams + newStreams;
     return bucket.streams < allowed;
   }
 
--- a/packages/policy/src/admission.ts
+++ b/packages/policy/src/admission.ts
@@ -235,7 +235,7 @@
       admittedAt: this.#options.clock.now(),
       priority: isBelowFloor ? 0 : RANKS.indexOf(rank),
       yieldController: new AbortController(),
-      isHeld: true,
+      isInFlight: true,
       canYield: false,
       isReleased: false,
       hasFirstToken: false,
@@ -254,14 +254,14 @@
       },
       resume: (signal) => this.#resume(state, signal),
       recordFirstToken: () => {
-        if (state.isHeld && !state.hasFirstToken) {
+        if (state.isInFlight && !state.hasFirstToken) {
           state.hasFirstToken = true;
           const latencyMs = this.#options.clock.now() - state.admittedAt;
           this.#firstTokenLatency.record(waiter.rank, latencyMs);
         }
       },
       release: (tokens) => {
-        if (state.isHeld) {
+        if (state.isInFlight) {
           this.#rates.recordRelease(waiter.cost);
           this.#freePermit(state);
           this.#admitWaiting();
@@ -290,7 +290,7 @@
   }
 
   #freePermit(state: PermitState): void {
-    state.isHeld = false;
+    state.isInFlight = false;
     this.#inFlight[state.waiter.rank]--;
     this.#permits.delete(state);
   }
--- a/packages/policy/src/checkpoint.ts
+++ b/packages/policy/src/checkpoint.ts
@@ -16,13 +16,13 @@
   /** Entries of the stream after the state in the checkpoint. */
   readonly entries: number;
   /** Time since the checkpoint was read. */
-  readonly ms: number;
+  readonly elapsedMs: number;
 }
 
 /** Age at which the next checkpoint is due. */
 export interface CheckpointLimits {
   readonly entries: number;
-  readonly ms: number;
+  readonly elapsedMs: number;
 }
 
 /** Order and delays in which nodes append a checkpoint that is due. */
@@ -41,7 +41,7 @@
   age: CheckpointAge,
   limits: CheckpointLimits,
 ): boolean {
-  return age.entries >= limits.entries || age.ms >= limits.ms;
+  return age.entries >= limits.entries || age.elapsedMs >= limits.elapsedMs;
 }
 
 /**
--- a/packages/policy/src/entry-node.ts
+++ b/packages/policy/src/entry-node.ts
@@ -28,9 +28,9 @@
   dataCentre: string | undefined,
   random: Random,
 ): EntryNode | undefined {
-  const near = candidates.filter((node) => node.dataCentre === dataCentre);
-  const hasCapacity = near.some(({ load }) => load < 1);
-  return chooseWeighted(hasCapacity ? near : candidates, random);
+  const nearby = candidates.filter((node) => node.dataCentre === dataCentre);
+  const hasCapacity = nearby.some(({ load }) => load < 1);
+  return chooseWeighted(hasCapacity ? nearby : candidates, random);
 }
 
 function chooseWeighted(
--- a/packages/policy/src/load-balancer.ts
+++ b/packages/policy/src/load-balancer.ts
@@ -45,7 +45,7 @@
   #stragglers: StragglerDetector;
   #outstanding = new Map<string, number>();
   #firstSeenAt = new Map<string, number>();
-  #reports = new Map<string, { reportedAt: number; others: number }>();
+  #reports = new Map<string, { reportedAt: number; otherRequests: number }>();
 
   constructor(clock: Clock, random: Random, prefixes = new PrefixIndex()) {
     this.prefixes = prefixes;
@@ -129,7 +129,7 @@
     let best: RouteCandidate | undefined;
     let bestLength = 0;
     for (const candidate of prefix.length > 0 ? candidates : []) {
-      const length = this.prefixes.match(candidate.group, prefix);
+      const length = this.prefixes.matchLength(candidate.group, prefix);
       if (length > bestLength && this.#countLoad(candidate) <= maxLoad) {
         best = candidate;
         bestLength = length;
@@ -144,11 +144,11 @@
     candidates: readonly RouteCandidate[],
     maxLoad: number,
   ): RouteCandidate | undefined {
-    const near = this.#chooseOfTwo(
+    const nearby = this.#chooseOfTwo(
       candidates.filter((candidate) => candidate.dataCentre === dataCentre),
     );
-    return near !== undefined && this.#countLoad(near) <= maxLoad
-      ? near
+    return nearby !== undefined && this.#countLoad(nearby) <= maxLoad
+      ? nearby
       : undefined;
   }
 
@@ -167,11 +167,11 @@
 
   /** Own requests, and those of other nodes weighted by the report's age. */
   #countLoad(candidate: RouteCandidate): number {
-    const own = this.countOutstanding(candidate.group);
-    const others = this.#countOthers(candidate);
+    const ownRequests = this.countOutstanding(candidate.group);
+    const otherRequests = this.#countOtherRequests(candidate);
     const ageMs = this.#clock.now() - candidate.reportedAt;
     const weight = 0.5 ** (ageMs / REPORT_HALF_LIFE_MS);
-    return (own + others * weight + 1) /
+    return (ownRequests + otherRequests * weight + 1) /
       this.#getSlowStartShare(candidate.group);
   }
 
@@ -180,14 +180,19 @@
    * the report are subtracted: subtracting their present number would hide what
    * this node has sent since, and send a burst to one group.
    */
-  #countOthers({ group, reportedLoad, reportedAt }: RouteCandidate): number {
+  #countOtherRequests(
+    { group, reportedLoad, reportedAt }: RouteCandidate,
+  ): number {
     const known = this.#reports.get(group);
     if (known?.reportedAt === reportedAt) {
-      return known.others;
+      return known.otherRequests;
     }
-    const others = Math.max(0, reportedLoad - this.countOutstanding(group));
-    this.#reports.set(group, { reportedAt, others });
-    return others;
+    const otherRequests = Math.max(
+      0,
+      reportedLoad - this.countOutstanding(group),
+    );
+    this.#reports.set(group, { reportedAt, otherRequests });
+    return otherRequests;
   }
 
   #getSlowStartShare(group: string): number {
--- a/packages/policy/src/peer-choice.ts
+++ b/packages/policy/src/peer-choice.ts
@@ -19,20 +19,20 @@
  * cannot be reached, the slot continues along the ring.
  */
 export function planPeerSlots(
-  own: string,
-  all: readonly string[],
+  ownNode: string,
+  nodes: readonly string[],
   limit: number,
   hash: NameHash,
 ): PeerSlot[] {
-  const others = [...new Set(all)].filter((name) => name !== own);
+  const others = [...new Set(nodes)].filter((name) => name !== ownNode);
   if (others.length <= limit) {
     return others.map((name) => [name]);
   }
-  const ring = [own, ...others]
+  const ring = [ownNode, ...others]
     .map((name) => ({ name, position: hash(name) }))
     .sort((a, b) => a.position - b.position || (a.name < b.name ? -1 : 1))
     .map(({ name }) => name);
-  const ownIndex = ring.indexOf(own);
+  const ownIndex = ring.indexOf(ownNode);
   const successors = [...ring.slice(ownIndex + 1), ...ring.slice(0, ownIndex)];
   return computeDistances(ring.length, Math.max(1, Math.floor(limit / 2)))
     .map((distance) => [
@@ -41,10 +41,10 @@
     ]);
 }
 
-function computeDistances(size: number, count: number): number[] {
+function computeDistances(ringSize: number, count: number): number[] {
   const distances: number[] = [];
   for (let index = 0; index < count; index++) {
-    const ideal = Math.round(size ** (index / count));
+    const ideal = Math.round(ringSize ** (index / count));
     distances.push(Math.max(ideal, (distances.at(-1) ?? 0) + 1));
   }
   return distances;
--- a/packages/policy/src/peer-tree.ts
+++ b/packages/policy/src/peer-tree.ts
@@ -27,7 +27,7 @@
  * longer increases is lost; it is accepted again only with a higher sequence.
  */
 export class PeerTree {
-  #own: string;
+  #ownNode: string;
   #timeoutMs: number;
   #position: TreePosition;
   #increasedAt: number;
@@ -36,15 +36,15 @@
 
   /** `rootSequence` must be higher than any of an earlier process. */
   constructor(
-    own: string,
+    ownNode: string,
     rootSequence: number,
     timeoutMs: number,
     now: number,
   ) {
-    this.#own = own;
+    this.#ownNode = ownNode;
     this.#timeoutMs = timeoutMs;
     this.#increasedAt = now;
-    this.#position = { root: own, rootSequence, depth: 0, parent: "" };
+    this.#position = { root: ownNode, rootSequence, depth: 0, parent: "" };
   }
 
   /** This node's position, as its neighbours are told. */
@@ -56,7 +56,7 @@
   get links(): string[] {
     return [...this.#neighbours]
       .filter(([node, position]) =>
-        node === this.#position.parent || position.parent === this.#own
+        node === this.#position.parent || position.parent === this.#ownNode
       )
       .map(([node]) => node);
   }
@@ -64,14 +64,19 @@
   /** Increases the sequence as the root, or gives up a silent root. */
   advance(rootSequence: number, now: number): void {
     const { root, rootSequence: known } = this.#position;
-    if (root === this.#own) {
+    if (root === this.#ownNode) {
       this.#position = {
         ...this.#position,
         rootSequence: Math.max(rootSequence, known + 1),
       };
     } else if (now - this.#increasedAt > this.#timeoutMs) {
       this.#markRootLost();
-      this.#position = { root: this.#own, rootSequence, depth: 0, parent: "" };
+      this.#position = {
+        root: this.#ownNode,
+        rootSequence,
+        depth: 0,
+        parent: "",
+      };
     }
   }
 
@@ -82,7 +87,7 @@
     if (node === parent && position.root !== root) {
       this.#followParent(node, position, now);
     } else if (
-      position.parent !== this.#own && this.#isBetter(node, position)
+      position.parent !== this.#ownNode && this.#isBetter(node, position)
     ) {
       if (position.root !== root || position.rootSequence > rootSequence) {
         this.#increasedAt = now;
@@ -116,7 +121,7 @@
 
   /** Follows the parent to another root, so that the links remain. */
   #followParent(node: string, position: TreePosition, now: number): void {
-    if (position.parent === this.#own || position.root === this.#own) {
+    if (position.parent === this.#ownNode || position.root === this.#ownNode) {
       this.#position = { ...this.#position, parent: "" };
       return;
     }
@@ -146,7 +151,7 @@
       return position.root < root &&
         position.rootSequence > (this.#lostRoots.get(position.root) ?? -1);
     }
-    if (root === this.#own) {
+    if (root === this.#ownNode) {
       return false;
     }
     if (position.rootSequence === rootSequence) {
--- a/packages/policy/src/prefix-index.ts
+++ b/packages/policy/src/prefix-index.ts
@@ -18,7 +18,7 @@
   }
 
   /** Counts the prefixes, from the shortest one, that a group holds. */
-  match(group: string, prefix: readonly string[]): number {
+  matchLength(group: string, prefix: readonly string[]): number {
     const store = this.#groups.get(group);
     if (store === undefined) {
       return 0;
--- a/packages/policy/src/replicas.ts
+++ b/packages/policy/src/replicas.ts
@@ -38,7 +38,7 @@
 /** Chooses hosts for every missing replica that can be placed. */
 export function planGroups(input: PlanInput): PlannedGroup[] {
   const planned: PlannedGroup[] = [];
-  const free = new Map(input.freeHosts.map((host) => [host.host, host]));
+  const freeHosts = new Map(input.freeHosts.map((host) => [host.host, host]));
   const replicas = listReplicas(input.groups);
   const groupSizes = input.models.map(({ hosts }) => hosts);
   const models = input.models.toSorted((a, b) => compareText(a.name, b.name));
@@ -49,7 +49,7 @@
       const placed = placeReplica(
         model,
         locations,
-        [...free.values()],
+        [...freeHosts.values()],
         groupSizes,
       );
       if (placed === undefined) {
@@ -57,7 +57,7 @@
       }
       planned.push({ model, placed });
       locations.push(placed);
-      placed.hosts.forEach(({ host }) => free.delete(host));
+      placed.hosts.forEach(({ host }) => freeHosts.delete(host));
     }
   }
   return planned;
@@ -73,10 +73,10 @@
     name === model.name
   );
   const groupSizes = input.models.map(({ hosts }) => hosts);
-  const near = input.freeHosts.filter(({ dataCentre }) =>
+  const nearbyHosts = input.freeHosts.filter(({ dataCentre }) =>
     dataCentre === group.dataCentre
   );
-  return placeReplica(model, locations, near, groupSizes) ??
+  return placeReplica(model, locations, nearbyHosts, groupSizes) ??
     placeReplica(model, locations, input.freeHosts, groupSizes);
 }
 
@@ -89,8 +89,8 @@
     models.map(({ name, replicas }) => [name, replicas]),
   );
   const replicas = listReplicas(groups);
-  const names = [...new Set(replicas.map(({ model }) => model))];
-  return names.flatMap((name) => {
+  const modelNames = [...new Set(replicas.map(({ model }) => model))];
+  return modelNames.flatMap((name) => {
     const modelGroups = replicas.filter(({ model }) => model === name);
     return chooseSurplus(
       modelGroups,
@@ -105,18 +105,20 @@
 function placeReplica(
   model: ModelRule,
   locations: readonly Location[],
-  free: readonly Host[],
+  freeHosts: readonly Host[],
   groupSizes: readonly number[],
 ): PlacedGroup | undefined {
   const countsByDataCentre = countBy(locations, ({ dataCentre }) => dataCentre);
   const replicaCounts = countBy(locations, ({ fabricDomain }) => fabricDomain);
-  const dataCentres = [...new Set(free.map(({ dataCentre }) => dataCentre))]
+  const dataCentres = [
+    ...new Set(freeHosts.map(({ dataCentre }) => dataCentre)),
+  ]
     .sort((a, b) =>
       (countsByDataCentre.get(a) ?? 0) - (countsByDataCentre.get(b) ?? 0) ||
       compareText(a, b)
     );
   for (const dataCentre of dataCentres) {
-    const hosts = free.filter((host) => host.dataCentre === dataCentre);
+    const hosts = freeHosts.filter((host) => host.dataCentre === dataCentre);
     const placed = placeGroup(model, hosts, { groupSizes, replicaCounts });
     if (placed !== undefined) {
       return placed;
--- a/packages/policy/src/retry-budget.ts
+++ b/packages/policy/src/retry-budget.ts
@@ -9,7 +9,7 @@
 /** Retries that a rank may save up, and that it starts with. */
 const MAX_SAVED_RETRIES = 10;
 const BACKOFF_BASE_MS = 50;
-const BACKOFF_LIMIT_MS = 2000;
+const MAX_BACKOFF_MS = 2000;
 
 /** Limits the retries of each rank to a share of its first attempts. */
 export class RetryBudget {
@@ -51,7 +51,7 @@
   /** Draws a backoff with full jitter; the first retry has number 1. */
   drawBackoffMs(retry: number): number {
     const limitMs = Math.min(
-      BACKOFF_LIMIT_MS,
+      MAX_BACKOFF_MS,
       BACKOFF_BASE_MS * 2 ** (retry - 1),
     );
     return this.#random.fraction() * limitMs;
--- a/packages/policy/src/subset.ts
+++ b/packages/policy/src/subset.ts
@@ -35,26 +35,26 @@
     isMissing: (group: GroupState) => boolean,
   ): GroupState[] {
     const chosen: GroupState[] = [];
-    let present = 0;
-    for (const group of this.#sort(groups)) {
-      if (present >= size || chosen.length >= 2 * size) {
+    let presentCount = 0;
+    for (const group of this.#sortByPreference(groups)) {
+      if (presentCount >= size || chosen.length >= 2 * size) {
         break;
       }
       chosen.push(group);
-      present += isMissing(group) ? 0 : 1;
+      presentCount += isMissing(group) ? 0 : 1;
     }
     return chosen;
   }
 
-  #sort(groups: readonly GroupState[]): GroupState[] {
+  #sortByPreference(groups: readonly GroupState[]): GroupState[] {
     return groups
       .map((group) => ({
         group,
-        isNear: group.dataCentre === this.#dataCentre,
+        isLocal: group.dataCentre === this.#dataCentre,
         weight: this.#hash(`${this.#node} ${group.group}`),
       }))
       .sort((a, b) =>
-        Number(b.isNear) - Number(a.isNear) || b.weight - a.weight
+        Number(b.isLocal) - Number(a.isLocal) || b.weight - a.weight
       )
       .map(({ group }) => group);
   }
--- a/packages/policy/src/usage-totals.ts
+++ b/packages/policy/src/usage-totals.ts
@@ -20,7 +20,7 @@
 
 interface Link {
   /** Usage with open streams on this link's side. */
-  streams: readonly AccountUsage[];
+  streamUsage: readonly AccountUsage[];
   /** Usage of all other links that is not yet sent to this one. */
   unsent: Totals;
   /** Whether the last message contained an account. */
@@ -53,14 +53,14 @@
    * parent receives the usage that was not yet sent to a lost one.
    */
   setLinks(nodes: readonly string[], parent: string): void {
-    const kept = new Set([OWN_LINK, ...nodes]);
+    const linked = new Set([OWN_LINK, ...nodes]);
     const unsent = this.#links.get(this.#parent)?.unsent;
     for (const node of this.#links.keys()) {
-      if (!kept.has(node)) {
+      if (!linked.has(node)) {
         this.#links.delete(node);
       }
     }
-    for (const node of kept) {
+    for (const node of linked) {
       if (!this.#links.has(node)) {
         this.#links.set(node, createLink());
       }
@@ -68,7 +68,7 @@
     if (parent !== this.#parent) {
       const link = this.#links.get(parent);
       if (
-        link !== undefined && unsent !== undefined && !kept.has(this.#parent)
+        link !== undefined && unsent !== undefined && !linked.has(this.#parent)
       ) {
         link.unsent = unsent;
       }
@@ -92,9 +92,9 @@
     }
     const totals = link.unsent;
     link.unsent = new Map();
-    for (const [other, { streams }] of this.#links) {
+    for (const [other, { streamUsage }] of this.#links) {
       if (other !== node) {
-        addStreams(totals, streams);
+        addStreams(totals, streamUsage);
       }
     }
     const accounts = [...totals]
@@ -106,7 +106,7 @@
 
   #addUsage(node: string, accounts: readonly AccountUsage[]): void {
     const streams = accounts.filter((usage) => usage.streams > 0);
-    this.#links.get(node)!.streams = streams;
+    this.#links.get(node)!.streamUsage = streams;
     for (const [other, link] of this.#links) {
       if (other !== node) {
         addRequestsAndTokens(link.unsent, accounts);
@@ -116,7 +116,7 @@
 }
 
 function createLink(): Link {
-  return { streams: [], unsent: new Map(), hadUsage: false };
+  return { streamUsage: [], unsent: new Map(), hadUsage: false };
 }
 
 function findTotal(totals: Totals, account: string): Total {
--- a/packages/policy/src/waiter.ts
+++ b/packages/policy/src/waiter.ts
@@ -19,6 +19,7 @@
   readonly expiresAt: number;
   readonly yieldCount: number;
   readonly settle: (result: Result<Permit, Refusal>) => void;
+  /** Verdict of the refusal when the wait ends without a permit. */
   readonly verdict: Refusal["verdict"];
 }
 
@@ -28,7 +29,9 @@
   readonly admittedAt: number;
   readonly priority: number;
   readonly yieldController: AbortController;
-  isHeld: boolean;
+  /** False once the permit is released or its request yields. */
+  isInFlight: boolean;
+  /** Whether the owner of the permit has read the yield signal. */
   canYield: boolean;
   isReleased: boolean;
   hasFirstToken: boolean;
--- a/packages/policy/test/load-balancer.test.ts
+++ b/packages/policy/test/load-balancer.test.ts
@@ -175,12 +175,12 @@
       const index = new PrefixIndex(() => new DeepestFirstStore(4));
       index.recordPrompt("g", ["a", "b", "c"]);
       index.recordPrompt("g", ["a", "d", "e"]);
-      expect(index.match("g", ["a", "b", "c"])).toBe(2);
-      expect(index.match("g", ["a", "d", "e"])).toBe(3);
+      expect(index.matchLength("g", ["a", "b", "c"])).toBe(2);
+      expect(index.matchLength("g", ["a", "d", "e"])).toBe(3);
       index.recordPrompt("g", ["f", "g", "h", "i"]);
       index.recordPrompt("g", ["j", "k", "l", "m"]);
       const held = [["a", "b"], ["f", "g", "h", "i"], ["j", "k", "l", "m"]]
-        .map((prefix) => index.match("g", prefix));
+        .map((prefix) => index.matchLength("g", prefix));
       expect(held.reduce((sum, length) => sum + length)).toBeLessThanOrEqual(4);
     });
   });
@@ -190,13 +190,13 @@
       const index = new PrefixIndex();
       index.recordPrompt("g", ["a", "b"]);
       index.applyCacheEvent("g", { removed: ["b"] });
-      expect(index.match("g", ["a", "b"])).toBe(1);
+      expect(index.matchLength("g", ["a", "b"])).toBe(1);
     });
 
     it("accepts an event about an unknown prefix", () => {
       const index = new PrefixIndex();
       index.applyCacheEvent("g", { removed: ["x"], stored: ["a"] });
-      expect(index.match("g", ["a"])).toBe(1);
+      expect(index.matchLength("g", ["a"])).toBe(1);
     });
   });
 });
