--- a/packages/policy/src/peer-tree.ts
+++ b/packages/policy/src/peer-tree.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-/** A node's position in the tree, as its neighbours are told. */
+/** A node's position in the tree, as sent to its neighbours. */
 export interface TreePosition {
   /** The node with the lowest name among the known live ones. */
   readonly root: string;
@@ -47,7 +47,7 @@
     this.#position = { root: ownNode, rootSequence, depth: 0, parent: "" };
   }
 
-  /** This node's position, as its neighbours are told. */
+  /** This node's position, as sent to the neighbours. */
   get position(): TreePosition {
     return this.#position;
   }
--- a/packages/policy/src/placement.ts
+++ b/packages/policy/src/placement.ts
@@ -14,7 +14,7 @@
 
 /** What a placement depends on besides the free hosts. */
 export interface PlacementContext {
-  /** Group groupSizes of all models; they tell which hosts stay usable. */
+  /** Group sizes of all models; they decide which hosts stay usable. */
   readonly groupSizes: readonly number[];
   /** Number of groups of the same model, by fabric domain. */
   readonly replicaCounts: ReadonlyMap<string, number>;
--- a/packages/policy/test/departure.test.ts
+++ b/packages/policy/test/departure.test.ts
@@ -59,7 +59,7 @@
 
 describe("isDrainDue", () => {
   describe("a date", () => {
-    it("leaves requests time to finish before the host goes", () => {
+    it("leaves requests time to finish before the host leaves", () => {
       expect(isDrainDue({ at: NOW + DRAIN_AHEAD_MS }, NOW)).toBe(true);
       expect(isDrainDue({ at: NOW + DRAIN_AHEAD_MS + 1 }, NOW)).toBe(false);
     });
--- a/packages/policy/test/subset.test.ts
+++ b/packages/policy/test/subset.test.ts
@@ -40,7 +40,7 @@
       expect(Math.max(...counts.values())).toBeLessThan(2 * share);
     });
 
-    it("changes at most one choice when one group goes", async () => {
+    it("changes at most one choice when one group is removed", async () => {
       const subset = await createSubset("node-1", "dc-1");
       const groups = createGroups(150);
       const before = subset.choose(groups, SIZE, isNeverMissing);
