--- a/packages/relay/src/placement/holder-elector.ts
+++ b/packages/relay/src/placement/holder-elector.ts
@@ -11,10 +11,10 @@
   TaskGroup,
 } from "@zinniahill/kernel";
 import { createMachine, interpret, state, transition } from "robot3";
-import type { Intake } from "../entry/intake.ts";
+import type { CapacityMonitor } from "../entry/capacity-monitor.ts";
 import type { Feeds } from "../feeds/feeds.ts";
 import type { Lifecycle } from "../lifecycle.ts";
-import type { Seat, Standing } from "../outside.ts";
+import type { ElectionStatus, HolderElection } from "../adapter.ts";
 import type { Mesh } from "../peers/mesh.ts";
 import type { Peer } from "../peers/peer.ts";
 import type { RelayKernel } from "../services.ts";
@@ -62,11 +62,11 @@
   #random: Random;
   #logger: Logger;
   #feeds: Feeds;
-  #seat: Seat;
+  #seat: HolderElection;
   #member: string;
   #lifecycle: Lifecycle;
   #mesh: Mesh;
-  #intake: Intake;
+  #intake: CapacityMonitor;
   #isMember = false;
   /** Whether this node may become the holder, as far as the store answers. */
   #seeks = false;
@@ -93,10 +93,10 @@
     this.#holderSeenAt = this.#startedAt;
     this.#feeds = kernel.find("feeds");
     // Orders are based on what this node has read.
-    this.#feeds.hurryWhile(() => this.isHolder);
-    this.#mesh.reportPlacement(() => ({
-      holds: this.isHolder,
-      seeks: this.#seeks,
+    this.#feeds.readAtFullRateWhile(() => this.isHolder);
+    this.#mesh.setPlacementSource(() => ({
+      isHolder: this.isHolder,
+      isCandidate: this.#seeks,
     }));
     // A restarted process must not take its predecessor's place for granted.
     this.#member = `${kernel.find("settings").node.name}/${this.#random.id()}`;
@@ -231,7 +231,7 @@
       this.#isMember = true;
       this.#seeks = true;
       this.#joinAt = undefined;
-      this.#mesh.beatNow();
+      this.#mesh.broadcastHeartbeat();
     }
   }
 
@@ -250,7 +250,7 @@
   }
 
   /** The term counts from before the renewal was sent. */
-  #apply({ generation, isHolder }: Standing, began: number): void {
+  #apply({ generation, isHolder }: ElectionStatus, began: number): void {
     if (generation !== this.#generation) {
       this.#logger.info("membership_changed", {
         generation,
@@ -270,7 +270,7 @@
     if (!wasHolder) {
       this.#heldSince = this.#clock.now();
       this.#logger.info("placement_held", { fence: generation });
-      this.#mesh.beatNow();
+      this.#mesh.broadcastHeartbeat();
     }
   }
 
@@ -287,7 +287,7 @@
       this.#machine.send("lose");
       this.#heldUntil = -Infinity;
       this.#logger.info("placement_lost", { fence: this.#generation, reason });
-      this.#mesh.beatNow();
+      this.#mesh.broadcastHeartbeat();
     }
   }
 }
--- a/packages/relay/src/placement/unlisted-leads.ts
+++ b/packages/relay/src/placement/unlisted-leads.ts
@@ -5,7 +5,7 @@
  */
 import type { Clock } from "@zinniahill/kernel";
 import type { Feeds } from "../feeds/feeds.ts";
-import { type Group, readGroupLead } from "../hosts/groups.ts";
+import { type Group, parseGroupLead } from "../hosts/groups.ts";
 import type { Instances } from "../hosts/instances.ts";
 import type { RelayKernel } from "../services.ts";
 import type { HolderElector } from "./holder-elector.ts";
@@ -46,8 +46,8 @@
 
   /** Judges a group that has no listed lead. */
   getStatus({ name }: Group): LeadStatus {
-    const lead = readGroupLead(name);
-    if (this.#feeds.reachableMs("instances") < RELISTING_MS) {
+    const lead = parseGroupLead(name);
+    if (this.#feeds.sinceOutageMs("instances") < RELISTING_MS) {
       return "may-return";
     }
     // A lead that is listed without the group has left it.
@@ -58,7 +58,7 @@
 
   /** Makes the lead leave, as it may only be cut off from the store. */
   async release({ name, epoch }: Group, signal: AbortSignal): Promise<void> {
-    const lead = readGroupLead(name);
+    const lead = parseGroupLead(name);
     if (lead === undefined) {
       return;
     }
--- a/packages/relay/test/placement/holder-elector.test.ts
+++ b/packages/relay/test/placement/holder-elector.test.ts
@@ -1,20 +1,22 @@
 import { Kernel, ManualClock, SeededRandom } from "@zinniahill/kernel";
 import { Result } from "true-myth";
 import { afterEach, describe, expect, it } from "vitest";
-import type { Seat, Standing } from "../../src/index.ts";
+import type { ElectionStatus, HolderElection } from "../../src/index.ts";
 import type { Mesh } from "../../src/peers/mesh.ts";
 import type { Peer } from "../../src/peers/peer.ts";
 import { HolderElector } from "../../src/placement/holder-elector.ts";
 import type { RelayKernel, RelayServices } from "../../src/services.ts";
 
 /** A membership that deals placement to this node whenever it joins. */
-class CountedSeat implements Seat {
+class CountedSeat implements HolderElection {
   renewals = 0;
   isMember = false;
   isHolder = true;
   isAway = false;
 
-  renew(): Promise<Result<Standing, { verdict: "not-run"; message: string }>> {
+  renew(): Promise<
+    Result<ElectionStatus, { verdict: "not-run"; message: string }>
+  > {
     if (this.isAway) {
       return Promise.resolve(
         Result.err({ verdict: "not-run", message: "503" }),
@@ -73,8 +75,8 @@
   const mesh = {
     list: () => peers,
     countNodes: () => known.nodes,
-    beatNow: () => {},
-    reportPlacement: () => {},
+    broadcastHeartbeat: () => {},
+    setPlacementSource: () => {},
   } satisfies Partial<Record<keyof Mesh, unknown>>;
   const silent = { error() {}, warn() {}, info() {}, debug() {} };
   const kernel: RelayKernel = new Kernel<RelayServices>();
@@ -89,7 +91,8 @@
     .provide(
       "feeds",
       [],
-      () => ({ hurryWhile: () => {}, isReachable: () => true }) as never,
+      () =>
+        ({ readAtFullRateWhile: () => {}, isReachable: () => true }) as never,
     )
     .provide("seat", [], () => seat);
   await kernel.start();
@@ -113,7 +116,7 @@
   }
 
   /** The membership as one node reaches it. */
-  of(node: { isCutOff: boolean }): Seat {
+  of(node: { isCutOff: boolean }): HolderElection {
     return {
       renew: (member, _generation, termMs) => {
         if (node.isCutOff) {
@@ -169,14 +172,16 @@
       const node = {
         said: createPeer(false),
         isHeard: false,
-        readClaim: () => ({ holds: false, seeks: false }),
+        readClaim: () => ({ isHolder: false, isCandidate: false }),
         holder: undefined as unknown as HolderElector,
         lifecycle: { isDraining: false },
         isCutOff: false,
       };
       const say = () => {
-        const { holds, seeks } = node.readClaim();
-        const said = createPeer(holds, 1, { seeksPlacement: seeks });
+        const { isHolder, isCandidate } = node.readClaim();
+        const said = createPeer(isHolder, 1, {
+          seeksPlacement: isCandidate,
+        });
         clock.schedule(1, () => {
           node.said = said;
           node.isHeard = true;
@@ -187,8 +192,8 @@
           nodes.filter((other) => other !== node && other.isHeard)
             .map(({ said }) => said),
         countNodes: () => count,
-        beatNow: say,
-        reportPlacement: (source: typeof node.readClaim) => {
+        broadcastHeartbeat: say,
+        setPlacementSource: (source: typeof node.readClaim) => {
           node.readClaim = source;
         },
       };
@@ -209,7 +214,11 @@
         .provide(
           "feeds",
           [],
-          () => ({ hurryWhile: () => {}, isReachable: () => true }) as never,
+          () =>
+            ({
+              readAtFullRateWhile: () => {},
+              isReachable: () => true,
+            }) as never,
         )
         .provide("seat", [], () => seat.of(node));
       await kernel.start();
