--- a/packages/policy/src/admission.ts
+++ b/packages/policy/src/admission.ts
@@ -120,7 +120,7 @@
             new Refusal(
               "deadline",
               verdict,
-              "the request was cancelled before it was admitted",
+              "the request was cancelled while it waited",
             ),
           ),
         );
