--- a/packages/relay/src/routing/current-configuration.ts
+++ b/packages/relay/src/routing/current-configuration.ts
@@ -11,12 +11,12 @@
 import type { RelayKernel } from "../services.ts";
 import { RouteTable } from "./route-table.ts";
 
-/** Takes over each newer configuration; never goes back to an older one. */
+/** Adopts each newer configuration, and never an older one. */
 export class CurrentConfiguration implements Service {
   #logger: Logger;
   #decoder: RecordDecoder;
   #feeds: Feeds;
-  #table: RouteTable | undefined;
+  #routeTable: RouteTable | undefined;
   #listeners = new Set<(configuration: Configuration) => void>();
 
   constructor(kernel: RelayKernel) {
@@ -26,13 +26,13 @@
     this.#feeds.onChange("configuration", (records) => this.#apply(records));
   }
 
-  /** Routes and accounts in force; undefined before the first version. */
+  /** Routes and accounts in force; undefined before the first configuration. */
   get routeTable(): RouteTable | undefined {
-    return this.#table;
+    return this.#routeTable;
   }
 
   get current(): Configuration | undefined {
-    return this.#table?.configuration;
+    return this.#routeTable?.configuration;
   }
 
   /** Calls a listener after each change. */
@@ -64,14 +64,14 @@
   }
 
   #adopt(configuration: Configuration, offset: number): void {
-    const before = this.current?.version;
-    if (before !== undefined && configuration.version <= before) {
+    const previous = this.current?.version;
+    if (previous !== undefined && configuration.version <= previous) {
       return;
     }
-    this.#table = new RouteTable(configuration);
+    this.#routeTable = new RouteTable(configuration);
     this.#logger.info("configuration_adopted", {
       version: configuration.version,
-      before,
+      before: previous,
       offset,
       routes: configuration.routes.length,
     });
--- a/packages/relay/src/routing/dispatcher.ts
+++ b/packages/relay/src/routing/dispatcher.ts
@@ -1,5 +1,5 @@
 /**
- * Chooses the upstream instance of each request, or refuses it.
+ * Selects the upstream instance of each request, or refuses the request.
  *
  * @module
  */
@@ -17,45 +17,45 @@
 import { selectByLoad } from "./load-balancing.ts";
 import type { GroupRef, OutstandingRequests } from "./outstanding-requests.ts";
 
-/** What a choice depends on. */
+/** The properties of a request that determine its instance. */
 export interface SelectionCriteria {
   readonly service: ServiceProfile;
   readonly model: string | undefined;
   /** 0 is the most urgent. */
   readonly rank: number;
   readonly targetMs: number;
-  /** Instances that this request was already given to. */
+  /** Instances that this request was already sent to. */
   readonly excluded: ReadonlySet<string>;
-  /** Whether work that was begun would be lost without another instance. */
+  /** Whether an earlier attempt may have run; a refusal would lose its work. */
   readonly mayHaveRun: boolean;
 }
 
-/** The instance that a request is given to. */
+/** The instance selected for a request. */
 export interface Selection {
   readonly instance: Instance;
   readonly group: GroupRef | undefined;
-  /** Requests at the instance before this one. */
+  /** Requests in progress at the instance before this one. */
   readonly load: number;
 }
 
-/** Requests may wait at an engine for as many places as come free in time. */
-const QUEUE_SHARE_OF_TARGET = 0.5;
-/** Places come free at about this pace in a full batch. */
-const MS_PER_FREE_SLOT = 70;
-/** Ranks from this one on leave places to the others. */
+/** Share of the target latency that a request may spend queued at an engine. */
+const MAX_QUEUED_SHARE = 0.5;
+/** In a full batch, slots are released at about this interval. */
+const SLOT_RELEASE_INTERVAL_MS = 70;
+/** Requests of this rank or a less urgent one leave slots to the others. */
 const DEFERRABLE_RANK = 2;
-const RESERVED_SHARE = 0.12;
-/** A stream that broke may go on at a group that takes nothing new. */
-const CONTINUED_LOAD_FACTOR = 2;
-/** A caller that returns later than its target is served late in any case. */
+const RESERVED_SLOT_SHARE = 0.12;
+/** A broken stream may resume at a group that accepts no new requests. */
+const RESUMED_LOAD_FACTOR = 2;
+/** A caller that returns after its target latency is late in any case. */
 const EARLY_RETRY_MS = 250;
 const LATE_RETRY_MS = 1500;
-/** Callers that were refused together do not return together. */
+/** Keeps callers that were refused together from returning together. */
 const RETRY_JITTER = 0.3;
-/** An instance that refused a connection is left alone for this time. */
+/** How long an instance that refused a connection gets no requests. */
 const UNREACHABLE_MS = 1000;
 
-/** Chooses by requests in progress over all nodes, as far as they are known. */
+/** Selects instances by their requests in progress from all nodes. */
 export class Dispatcher implements Service {
   #clock: Clock;
   #random: Random;
@@ -72,15 +72,15 @@
     this.#outstanding = kernel.find("outstanding");
   }
 
-  /** Chooses an instance with room. */
-  select(wish: SelectionCriteria): Result<Selection, Refusal> {
-    const { engine } = wish.service;
+  /** Selects an instance with spare capacity. */
+  select(criteria: SelectionCriteria): Result<Selection, Refusal> {
+    const { engine } = criteria.service;
     return engine === undefined
-      ? this.#choosePlain(wish)
-      : this.#chooseGroup(wish, engine);
+      ? this.#selectPlainInstance(criteria)
+      : this.#selectGroup(criteria, engine);
   }
 
-  /** A lead that refuses as misdirected no longer leads its group. */
+  /** Handles a misdirection refusal: the instance no longer leads its group. */
   markMisdirected({ instance, group }: Selection): void {
     this.markUnreachable(instance);
     if (group !== undefined) {
@@ -88,7 +88,7 @@
     }
   }
 
-  /** Leaves an instance alone for some time. */
+  /** Excludes an instance from selection for some time. */
   markUnreachable({ id }: Instance): void {
     this.#unreachableUntil.set(id, this.#clock.now() + UNREACHABLE_MS);
   }
@@ -97,88 +97,99 @@
     return { unreachable: [...this.#unreachableUntil.keys()] };
   }
 
-  #choosePlain(wish: SelectionCriteria): Result<Selection, Refusal> {
-    const listed = this.#instances.listReady(wish.service.name);
+  #selectPlainInstance(
+    criteria: SelectionCriteria,
+  ): Result<Selection, Refusal> {
+    const listed = this.#instances.listReady(criteria.service.name);
     const reachable = listed.filter((instance) => this.#isReachable(instance));
-    const candidates = reachable.length > 0 ? reachable : listed;
-    const choices = candidates
-      .filter(({ id }) => !wish.excluded.has(id))
-      .map((instance) => this.#createChoice(instance, undefined));
-    const chosen = this.#draw(choices, Infinity);
-    return chosen === undefined
-      ? Result.err(this.#refuseWithoutUpstream(wish))
-      : Result.ok(chosen);
+    const instances = reachable.length > 0 ? reachable : listed;
+    const candidates = instances
+      .filter(({ id }) => !criteria.excluded.has(id))
+      .map((instance) => this.#createSelection(instance, undefined));
+    const selected = this.#selectByLoad(candidates, Infinity);
+    return selected === undefined
+      ? Result.err(this.#refuseWithoutUpstream(criteria))
+      : Result.ok(selected);
   }
 
-  #chooseGroup(
-    wish: SelectionCriteria,
+  #selectGroup(
+    criteria: SelectionCriteria,
     engine: EngineProfile,
   ): Result<Selection, Refusal> {
     const groups = this.#groups.listServable(
-      wish.service.name,
-      wish.model ?? engine.models[0]?.name ?? "",
+      criteria.service.name,
+      criteria.model ?? engine.models[0]?.name ?? "",
+    );
+    const candidates = groups.flatMap((group) =>
+      this.#listLead(group, criteria)
     );
-    const choices = groups.flatMap((group) => this.#listLead(group, wish));
-    if (choices.length === 0) {
-      return Result.err(this.#refuseWithoutUpstream(wish));
+    if (candidates.length === 0) {
+      return Result.err(this.#refuseWithoutUpstream(criteria));
     }
-    const chosen = this.#draw(choices, computeLoadLimit(wish, engine));
-    return chosen === undefined
-      ? Result.err(this.#refuseOverloaded(wish, choices))
-      : Result.ok(chosen);
+    const selected = this.#selectByLoad(
+      candidates,
+      computeLoadLimit(criteria, engine),
+    );
+    return selected === undefined
+      ? Result.err(this.#refuseOverloaded(criteria, candidates))
+      : Result.ok(selected);
   }
 
   #refuseOverloaded(
-    wish: SelectionCriteria,
-    choices: readonly Selection[],
+    criteria: SelectionCriteria,
+    candidates: readonly Selection[],
   ): Refusal {
-    const least = Math.min(...choices.map(({ load }) => load));
+    const minLoad = Math.min(...candidates.map(({ load }) => load));
     return new Refusal(
       "overloaded",
       "not-run",
-      `the least loaded group has ${least} requests`,
-      this.#drawRetryAfterMs(wish),
+      `the least loaded group has ${minLoad} requests in progress`,
+      this.#drawRetryAfterMs(criteria),
     );
   }
 
-  #refuseWithoutUpstream(wish: SelectionCriteria): Refusal {
-    const { service: { name }, model } = wish;
-    const what = model === undefined ? name : `${name} ${model}`;
+  #refuseWithoutUpstream(criteria: SelectionCriteria): Refusal {
+    const { service: { name }, model } = criteria;
+    const target = model === undefined ? name : `${name} ${model}`;
     return new Refusal(
       "no-upstream",
       "not-run",
-      `no instance of ${what} takes requests`,
-      this.#drawRetryAfterMs(wish),
+      `no instance of ${target} is available`,
+      this.#drawRetryAfterMs(criteria),
     );
   }
 
-  /** Soon where the target can still be met, else when the peak may be over. */
+  /** A short delay if it still meets the target, else one beyond a load peak. */
   #drawRetryAfterMs({ targetMs }: SelectionCriteria): number {
-    const middleMs = targetMs > 2 * EARLY_RETRY_MS
+    const meanMs = targetMs > 2 * EARLY_RETRY_MS
       ? EARLY_RETRY_MS
       : LATE_RETRY_MS;
     const jitter = (2 * this.#random.fraction() - 1) * RETRY_JITTER;
-    return middleMs * (1 + jitter);
+    return meanMs * (1 + jitter);
   }
 
+  /** The lead of a group, if it can be selected. */
   #listLead(group: Group, { excluded }: SelectionCriteria): Selection[] {
     const { lead } = group;
     return lead === undefined || excluded.has(lead.id) ||
         !this.#isReachable(lead)
       ? []
-      : [this.#createChoice(lead, { name: group.name, epoch: group.epoch })];
+      : [this.#createSelection(lead, { name: group.name, epoch: group.epoch })];
   }
 
-  #createChoice(instance: Instance, group: GroupRef | undefined): Selection {
+  #createSelection(instance: Instance, group: GroupRef | undefined): Selection {
     return { instance, group, load: this.#outstanding.count(instance.id) };
   }
 
-  #draw(choices: readonly Selection[], limit: number): Selection | undefined {
+  #selectByLoad(
+    candidates: readonly Selection[],
+    limit: number,
+  ): Selection | undefined {
     const { loads, unreported } = this.#outstanding.estimateLoads(
-      choices.map(({ instance }) => instance.id),
+      candidates.map(({ instance }) => instance.id),
     );
     const index = selectByLoad(loads, unreported, limit, this.#random);
-    return index === undefined ? undefined : choices[index];
+    return index === undefined ? undefined : candidates[index];
   }
 
   #isReachable({ id }: Instance): boolean {
@@ -195,17 +206,18 @@
 }
 
 /**
- * Requests that a group may have when one more is given to it. Urgent ones may
- * wait for places that come free in time; the least urgent leave some free.
+ * The number of requests in progress below which a group is given another one.
+ * Urgent requests may queue for slots that are released in time; the least
+ * urgent ones leave some slots free.
  */
 function computeLoadLimit(
   { rank, targetMs, mayHaveRun }: SelectionCriteria,
   { slots }: EngineProfile,
 ): number {
   if (mayHaveRun) {
-    return slots * CONTINUED_LOAD_FACTOR;
+    return slots * RESUMED_LOAD_FACTOR;
   }
   return rank >= DEFERRABLE_RANK
-    ? slots * (1 - RESERVED_SHARE)
-    : slots + targetMs * QUEUE_SHARE_OF_TARGET / MS_PER_FREE_SLOT;
+    ? slots * (1 - RESERVED_SLOT_SHARE)
+    : slots + targetMs * MAX_QUEUED_SHARE / SLOT_RELEASE_INTERVAL_MS;
 }
--- a/packages/relay/src/routing/load-balancing.ts
+++ b/packages/relay/src/routing/load-balancing.ts
@@ -1,43 +1,44 @@
 /**
- * Chooses among upstreams by counts of requests that may be out of date.
+ * Selects among upstreams by request counts that may be out of date.
  *
  * @module
  */
 import type { Random } from "@zinniahill/kernel";
 
 /**
- * Draws an index, the less loaded ones more often; undefined if there is no room.
+ * Draws the index of an upstream, with a higher probability for a lower load;
+ * undefined if no upstream has room.
  *
- * Requests of other nodes that the counts do not show yet are taken to have
- * filled the least loaded upstreams up to one level, or up to the limit, and the
- * next request goes to each of these as often as that level is above its count.
- * Where the unseen requests alone take more than all places up to the limit, it
- * gets a place as often as one of them does.
+ * The unreported requests of other nodes, which `loads` does not include, and
+ * the next request are assumed to fill the least loaded upstreams up to a common
+ * level (water-filling), at most the limit. An upstream's probability is the
+ * share of these requests that it receives. Where they exceed the room below the
+ * limit, the next request finds room with the same probability as each of them.
  *
- * Without unseen requests, the least load is chosen; with many, all nodes
- * together fill the upstreams evenly. If every node chose the least load, all
- * would choose the same upstream until the next counts.
+ * Without unreported requests, the least loaded upstream is selected; with many,
+ * all nodes together fill the upstreams evenly. If every node selected the least
+ * loaded upstream, all would send to the same one until the next counts arrive.
  */
 export function selectByLoad(
   loads: readonly number[],
-  unseen: number,
+  unreported: number,
   limit: number,
   random: Random,
 ): number | undefined {
-  const level = Math.min(limit, findLevel(loads, unseen + 1));
-  let left = random.fraction() * (unseen + 1);
+  const level = Math.min(limit, findFillLevel(loads, unreported + 1));
+  let remaining = random.fraction() * (unreported + 1);
   for (const [index, load] of loads.entries()) {
-    left -= Math.max(0, level - load);
-    if (left < 0) {
+    remaining -= Math.max(0, level - load);
+    if (remaining < 0) {
       return index;
     }
   }
-  // Rounding may leave a rest after the last one.
-  return level < limit ? findLeast(loads) : undefined;
+  // Rounding may leave a remainder after the last upstream.
+  return level < limit ? findLeastLoaded(loads) : undefined;
 }
 
 /** The level up to which `added` requests fill the least loaded upstreams. */
-function findLevel(loads: readonly number[], added: number): number {
+function findFillLevel(loads: readonly number[], added: number): number {
   const sorted = [...loads].sort((a, b) => a - b);
   let sum = added;
   for (const [index, load] of sorted.entries()) {
@@ -50,6 +51,6 @@
   return Infinity;
 }
 
-function findLeast(loads: readonly number[]): number {
+function findLeastLoaded(loads: readonly number[]): number {
   return loads.indexOf(Math.min(...loads));
 }
--- a/packages/relay/src/routing/outstanding-requests.ts
+++ b/packages/relay/src/routing/outstanding-requests.ts
@@ -1,5 +1,6 @@
 /**
- * Requests in progress at each upstream instance, and whether they move.
+ * Requests in progress at each upstream instance, and detection of groups that
+ * stall.
  *
  * @module
  */
@@ -15,41 +16,45 @@
 import type { RelayKernel } from "../services.ts";
 import { RequestDurations } from "./request-durations.ts";
 
-/** A request that one instance works on. */
+/** A request in progress at one instance. */
 export interface OutstandingRequest {
-  /** Events of the response came from the instance. */
+  /** Records that events of the response arrived. */
   recordEvent(): void;
-  /** Called once when nothing moves at the instance any more. */
+  /** Calls a listener once when the instance stalls. */
   onStall(listener: () => void): void;
   end(): void;
 }
 
-/** The group that an instance leads. */
+/** Identifies a group. */
 export interface GroupRef {
   readonly name: string;
   readonly epoch: number;
 }
 
-/** Requests at instances, as far as they can be known. */
+/** An estimate of the requests in progress at several instances. */
 export interface LoadEstimate {
-  /** Requests at each instance, without those that are unreported. */
+  /** Requests at each instance, without the unreported ones. */
   readonly loads: readonly number[];
-  /** Requests of other nodes that are at one of the instances by now. */
+  /**
+   * Requests of other nodes at any of the instances that have been sent since
+   * the last heartbeats.
+   */
   readonly unreported: number;
 }
 
-interface Work {
+/** This node's requests at one instance. */
+interface InstanceRequests {
   readonly group: GroupRef | undefined;
-  readonly tickets: Set<TicketState>;
-  /** When an event last came to this node. */
-  eventAt: number;
+  readonly requests: Set<RequestState>;
+  /** When this node last received an event. */
+  lastEventAt: number;
 }
 
-interface TicketState {
+interface RequestState {
   readonly startedAt: number;
-  /** Whether events show its progress; a whole body comes at its end. */
+  /** Whether events show its progress; other responses arrive in one piece. */
   readonly isStream: boolean;
-  /** Whether events have come; from then on they come steadily. */
+  /** Whether an event has arrived; from then on they arrive steadily. */
   hasBegun: boolean;
   isStalled: boolean;
   listener: () => void;
@@ -58,18 +63,18 @@
 const CHECK_INTERVAL_MS = 50;
 const PRUNE_INTERVAL_MS = 10_000;
 /**
- * Streams that have begun are not quiet for this long: an event of a busy engine
- * with long prompts takes up to 0.28 s.
+ * Exceeds the interval between events of a stream that has begun, which is up to
+ * 0.28 s at a busy engine with long prompts.
  */
-const STALL_MS = 350;
+const STALL_TIMEOUT_MS = 350;
 /**
- * Requests without an event may be waiting behind long prompts, or behind
- * requests of other nodes. Of many nodes, each has few requests at a group, so
- * events that came to the others count as well.
+ * Longer than STALL_TIMEOUT_MS, as requests without an event may be queued behind
+ * long prompts or behind requests of other nodes. With many nodes, each has few
+ * requests at a group, so events that other nodes received count as well.
  */
-const UNBEGUN_STALL_MS = 600;
+const FIRST_EVENT_TIMEOUT_MS = 600;
 
-/** Counts this node's requests by instance and notices groups that stall. */
+/** Counts this node's requests by instance and detects groups that stall. */
 export class OutstandingRequests implements Service {
   #clock: Clock;
   #logger: Logger;
@@ -77,8 +82,8 @@
   #mesh: Mesh;
   #placement: PlacementController;
   #tasks: TaskGroup;
-  #work = new Map<string, Work>();
-  #times: RequestDurations;
+  #byInstance = new Map<string, InstanceRequests>();
+  #durations: RequestDurations;
 
   constructor(kernel: RelayKernel) {
     this.#clock = kernel.find("clock");
@@ -87,16 +92,16 @@
     this.#mesh = kernel.find("mesh");
     this.#placement = kernel.find("placement");
     this.#tasks = new TaskGroup(this.#clock, this.#logger);
-    this.#times = new RequestDurations(this.#clock);
+    this.#durations = new RequestDurations(this.#clock);
   }
 
   start(): void {
     this.#mesh.setOutstandingSource(() =>
-      [...this.#work].map(([id, { tickets, eventAt }]) => [
+      [...this.#byInstance].map(([id, { requests, lastEventAt }]) => [
         id,
-        tickets.size,
-        Number.isFinite(eventAt)
-          ? Math.round(this.#clock.now() - eventAt)
+        requests.size,
+        Number.isFinite(lastEventAt)
+          ? Math.round(this.#clock.now() - lastEventAt)
           : null,
       ])
     );
@@ -105,7 +110,7 @@
       return Promise.resolve();
     });
     this.#tasks.repeat("prune_times", PRUNE_INTERVAL_MS, () => {
-      this.#times.prune();
+      this.#durations.prune();
       return Promise.resolve();
     });
   }
@@ -114,148 +119,165 @@
     return this.#tasks.stop();
   }
 
-  /** Requests at an instance, those of other nodes included. */
+  /** Requests at an instance, including those that peers last reported. */
   count(instance: string): number {
-    const own = this.#work.get(instance)?.tickets.size ?? 0;
+    const own = this.#byInstance.get(instance)?.requests.size ?? 0;
     return own + this.#mesh.peerLoads.count(instance);
   }
 
   /**
-   * What the instances probably have by now. Some requests that the last beats
-   * of peers name have ended since. About as many others were sent meanwhile,
-   * and it is not known where to.
+   * Estimates the current requests at instances. Some requests that the last
+   * heartbeats of peers counted have ended since. About as many others have been
+   * sent meanwhile, to instances that are not known yet.
    */
   estimateLoads(instances: readonly string[]): LoadEstimate {
     const now = this.#clock.now();
     const { peerLoads } = this.#mesh;
-    const meanMs = this.#times.meanMs(instances);
+    const meanMs = this.#durations.meanMs(instances);
     let unreported = 0;
     const loads = instances.map((id) => {
-      const own = this.#work.get(id)?.tickets.size ?? 0;
-      const surviving = peerLoads.estimateCount(id, meanMs, now);
-      unreported += peerLoads.count(id) - surviving;
-      return own + surviving;
+      const own = this.#byInstance.get(id)?.requests.size ?? 0;
+      const inProgress = peerLoads.estimateCount(id, meanMs, now);
+      unreported += peerLoads.count(id) - inProgress;
+      return own + inProgress;
     });
     return { loads, unreported };
   }
 
-  /** Counts a request until its ticket ends. */
+  /** Counts a request until it ends. */
   begin(
     instance: string,
     group: GroupRef | undefined,
     isStream: boolean,
   ): OutstandingRequest {
     const now = this.#clock.now();
-    const work = this.#findWork(instance, group);
-    const state: TicketState = {
+    const target = this.#getOrCreate(instance, group);
+    const state: RequestState = {
       startedAt: now,
       isStream,
       hasBegun: false,
       isStalled: false,
       listener: () => {},
     };
-    work.tickets.add(state);
+    target.requests.add(state);
     return {
       recordEvent: () => {
         state.hasBegun = true;
-        this.#noteProgress(work);
+        this.#recordEvent(target);
       },
       onStall: (listener) => {
         state.listener = listener;
       },
       end: () => {
-        if (!work.tickets.delete(state)) {
+        if (!target.requests.delete(state)) {
           return;
         }
-        this.#times.note(instance, this.#clock.now() - now);
-        if (work.tickets.size === 0 && this.#work.get(instance) === work) {
-          this.#work.delete(instance);
+        this.#durations.record(instance, this.#clock.now() - now);
+        if (
+          target.requests.size === 0 &&
+          this.#byInstance.get(instance) === target
+        ) {
+          this.#byInstance.delete(instance);
         }
       },
     };
   }
 
   dump(): unknown {
-    return [...this.#work].map(([instance, { tickets, eventAt }]) => ({
+    return [...this.#byInstance].map((
+      [instance, { requests, lastEventAt }],
+    ) => ({
       instance,
-      requests: tickets.size,
-      quietMs: Number.isFinite(eventAt)
-        ? Math.round(this.#clock.now() - eventAt)
+      requests: requests.size,
+      quietMs: Number.isFinite(lastEventAt)
+        ? Math.round(this.#clock.now() - lastEventAt)
         : undefined,
     }));
   }
 
-  #findWork(instance: string, group: GroupRef | undefined): Work {
-    const known = this.#work.get(instance);
+  #getOrCreate(
+    instance: string,
+    group: GroupRef | undefined,
+  ): InstanceRequests {
+    const known = this.#byInstance.get(instance);
     if (known !== undefined && known.group?.name === group?.name) {
       return known;
     }
-    const work: Work = { group, tickets: new Set(), eventAt: -Infinity };
-    this.#work.set(instance, work);
-    return work;
+    const created: InstanceRequests = {
+      group,
+      requests: new Set(),
+      lastEventAt: -Infinity,
+    };
+    this.#byInstance.set(instance, created);
+    return created;
   }
 
-  #noteProgress(work: Work): void {
-    work.eventAt = this.#clock.now();
-    if (work.group !== undefined && this.#groups.isSuspected(work.group)) {
-      this.#groups.clear(work.group.name, work.group.epoch);
+  #recordEvent(target: InstanceRequests): void {
+    target.lastEventAt = this.#clock.now();
+    if (target.group !== undefined && this.#groups.isSuspected(target.group)) {
+      this.#groups.clear(target.group.name, target.group.epoch);
     }
   }
 
   #findStalls(): void {
     const now = this.#clock.now();
-    for (const [instance, work] of this.#work) {
-      if (work.group === undefined) {
+    for (const [instance, target] of this.#byInstance) {
+      if (target.group === undefined) {
         continue;
       }
-      const streams = [...work.tickets].filter(({ isStream }) => isStream);
+      const streams = [...target.requests].filter(({ isStream }) => isStream);
       const [oldest] = streams;
       if (oldest === undefined) {
         continue;
       }
       const hasBegun = streams.some(({ hasBegun }) => hasBegun);
-      const eventAt = hasBegun ? work.eventAt : Math.max(
-        work.eventAt,
+      const lastEventAt = hasBegun ? target.lastEventAt : Math.max(
+        target.lastEventAt,
         this.#mesh.peerLoads.findLastEventAt(instance),
       );
-      const quietMs = now - Math.max(eventAt, oldest.startedAt);
-      if (quietMs >= this.#chooseLimitMs(hasBegun, work.group)) {
-        this.#reportStall(instance, work, work.group, quietMs);
+      const quietMs = now - Math.max(lastEventAt, oldest.startedAt);
+      if (quietMs >= this.#getTimeoutMs(hasBegun, target.group)) {
+        this.#reportStall(instance, target, target.group, quietMs);
       }
     }
   }
 
-  /** Evidence of another node makes this node's own, weaker one count. */
-  #chooseLimitMs(hasBegun: boolean, group: GroupRef): number {
+  /**
+   * The time without events after which a group counts as stalled. Requests
+   * without an event are weaker evidence, unless another node suspects the group.
+   */
+  #getTimeoutMs(hasBegun: boolean, group: GroupRef): number {
     return hasBegun || this.#groups.isSuspected(group)
-      ? STALL_MS
-      : UNBEGUN_STALL_MS;
+      ? STALL_TIMEOUT_MS
+      : FIRST_EVENT_TIMEOUT_MS;
   }
 
   #reportStall(
     instance: string,
-    work: Work,
+    target: InstanceRequests,
     { name, epoch }: GroupRef,
     quietMs: number,
   ): void {
-    const fresh = [...work.tickets].filter(({ isStalled }) => !isStalled);
-    if (fresh.length === 0) {
+    const newlyStalled = [...target.requests].filter(({ isStalled }) =>
+      !isStalled
+    );
+    if (newlyStalled.length === 0) {
       return;
     }
     this.#logger.warn("group_stalled", {
       group: name,
       epoch,
       lead: instance,
-      requests: work.tickets.size,
-      begun: [...work.tickets].filter(({ hasBegun }) => hasBegun).length,
+      requests: target.requests.size,
+      begun: [...target.requests].filter(({ hasBegun }) => hasBegun).length,
       quiet_ms: Math.round(quietMs),
     });
     this.#groups.suspect(name, epoch, "own requests");
     this.#mesh.broadcast({ kind: "suspect", instance, group: name, epoch });
     this.#placement.check(name, epoch);
-    for (const ticket of fresh) {
-      ticket.isStalled = true;
-      ticket.listener();
+    for (const request of newlyStalled) {
+      request.isStalled = true;
+      request.listener();
     }
   }
 }
--- a/packages/relay/src/routing/request-durations.ts
+++ b/packages/relay/src/routing/request-durations.ts
@@ -1,72 +1,73 @@
 /**
- * How long requests of this node take at each instance.
+ * Mean durations of this node's requests at each instance.
  *
  * @module
  */
 import type { Clock } from "@zinniahill/kernel";
 
-/** Older requests count less, by a factor of e in this time. */
-const MEMORY_MS = 4000;
+/** The weight of a request decreases by a factor of e in this time. */
+const DECAY_MS = 4000;
 /** Assumed until a request has ended; streams take about as long. */
-const INITIAL_MEAN_MS = 1000;
-/** What is left of a count that is forgotten. */
+const DEFAULT_MEAN_MS = 1000;
+/** A decayed count below this one is treated as zero. */
 const NEGLIGIBLE_COUNT = 0.01;
 
-/** Decaying sums over the requests of one instance that have ended. */
-interface Times {
+/** Decaying sums over the ended requests of one instance. */
+interface DurationSums {
   count: number;
   sumMs: number;
-  at: number;
+  updatedAt: number;
 }
 
-/** Measures requests by instance. */
+/** Keeps a moving average of request durations by instance. */
 export class RequestDurations {
   #clock: Pick<Clock, "now">;
-  #times = new Map<string, Times>();
+  #sums = new Map<string, DurationSums>();
 
   constructor(clock: Pick<Clock, "now">) {
     this.#clock = clock;
   }
 
-  /** Counts a request that has ended. */
-  note(instance: string, durationMs: number): void {
+  /** Records a request that has ended. */
+  record(instance: string, durationMs: number): void {
     const now = this.#clock.now();
-    const times = this.#times.get(instance) ?? { count: 0, sumMs: 0, at: now };
-    const factor = decayFactor(times, now);
-    this.#times.set(instance, {
-      count: times.count * factor + 1,
-      sumMs: times.sumMs * factor + durationMs,
-      at: now,
+    const sums = this.#sums.get(instance) ??
+      { count: 0, sumMs: 0, updatedAt: now };
+    const factor = decayFactor(sums, now);
+    this.#sums.set(instance, {
+      count: sums.count * factor + 1,
+      sumMs: sums.sumMs * factor + durationMs,
+      updatedAt: now,
     });
   }
 
-  /** How long a request takes at these instances, on average. */
+  /** Mean duration of a request at these instances. */
   meanMs(instances: readonly string[]): number {
     const now = this.#clock.now();
     let count = 0;
     let sumMs = 0;
     for (const id of instances) {
-      const times = this.#times.get(id);
-      if (times !== undefined) {
-        const factor = decayFactor(times, now);
-        count += times.count * factor;
-        sumMs += times.sumMs * factor;
+      const sums = this.#sums.get(id);
+      if (sums !== undefined) {
+        const factor = decayFactor(sums, now);
+        count += sums.count * factor;
+        sumMs += sums.sumMs * factor;
       }
     }
-    return count < NEGLIGIBLE_COUNT ? INITIAL_MEAN_MS : sumMs / count;
+    return count < NEGLIGIBLE_COUNT ? DEFAULT_MEAN_MS : sumMs / count;
   }
 
-  /** Forgets instances that get no requests any more. */
+  /** Removes instances that no longer receive requests. */
   prune(): void {
     const now = this.#clock.now();
-    for (const [instance, times] of this.#times) {
-      if (times.count * decayFactor(times, now) < NEGLIGIBLE_COUNT) {
-        this.#times.delete(instance);
+    for (const [instance, sums] of this.#sums) {
+      if (sums.count * decayFactor(sums, now) < NEGLIGIBLE_COUNT) {
+        this.#sums.delete(instance);
       }
     }
   }
 }
 
-function decayFactor({ at }: Times, now: number): number {
-  return Math.exp((at - now) / MEMORY_MS);
+function decayFactor({ updatedAt }: DurationSums, now: number): number {
+  return Math.exp((updatedAt - now) / DECAY_MS);
 }
--- a/packages/relay/src/routing/retry-budget.ts
+++ b/packages/relay/src/routing/retry-budget.ts
@@ -1,33 +1,33 @@
 /**
- * How many repeats the requests of a service allow, over all nodes together.
+ * A limit on the retries of each service's requests, over all nodes together.
  *
  * @module
  */
 import type { Clock } from "@zinniahill/kernel";
 
-/** The shared budget and this node's part of it. */
+/** The budget of all nodes together. */
 export interface RetryLimits {
-  /** Repeats allowed for each first attempt. */
+  /** Retries allowed for each first attempt. */
   readonly ratio: number;
   readonly windowMs: number;
-  /** Repeats allowed besides in one window, over all nodes. */
+  /** Additional retries allowed in one window, over all nodes. */
   readonly allowance: number;
 }
 
 interface Bucket {
   readonly startedAt: number;
-  first: number;
-  repeats: number;
+  firstAttempts: number;
+  retries: number;
 }
 
 const BUCKETS_PER_WINDOW = 20;
-/** Part of the budget that is used, as attempts are counted where they end. */
-const USED_SHARE = 0.8;
+/** The rest of the budget is a margin, as attempts are counted where they end. */
+const USABLE_SHARE = 0.8;
 
 /**
- * Counts attempts in a sliding window. Each node uses the share of its own
- * first attempts and an equal part of the allowance, so that no message is
- * needed to keep the sum.
+ * Counts attempts in a sliding window. Each node may use the part of the budget
+ * that its own first attempts earn, and an equal part of the allowance, so that
+ * nodes keep the common limit without exchanging messages.
  */
 export class RetryBudget {
   #clock: Clock;
@@ -43,42 +43,48 @@
 
   /** Counts a first attempt. */
   deposit(service: string): void {
-    this.#openBucket(service).first++;
+    this.#currentBucket(service).firstAttempts++;
   }
 
-  /** Takes one repeat; false when none is left. */
+  /** Takes one retry from the budget; false if none is left. */
   tryWithdraw(service: string): boolean {
-    const bucket = this.#openBucket(service);
+    const bucket = this.#currentBucket(service);
     const buckets = this.#services.get(service)!;
-    const first = buckets.reduce((sum, { first }) => sum + first, 0);
-    const repeats = buckets.reduce((sum, { repeats }) => sum + repeats, 0);
+    const firstAttempts = buckets.reduce(
+      (sum, { firstAttempts }) => sum + firstAttempts,
+      0,
+    );
+    const retries = buckets.reduce((sum, { retries }) => sum + retries, 0);
     const { ratio, allowance } = this.#limits;
-    const limit = ratio * first + allowance / this.#countNodes();
-    if (repeats + 1 > limit * USED_SHARE) {
+    const limit = ratio * firstAttempts + allowance / this.#countNodes();
+    if (retries + 1 > limit * USABLE_SHARE) {
       return false;
     }
-    bucket.repeats++;
+    bucket.retries++;
     return true;
   }
 
   dump(): unknown {
     return Object.fromEntries(
       [...this.#services].map(([service, buckets]) => [service, {
-        first: buckets.reduce((sum, { first }) => sum + first, 0),
-        repeats: buckets.reduce((sum, { repeats }) => sum + repeats, 0),
+        first: buckets.reduce(
+          (sum, { firstAttempts }) => sum + firstAttempts,
+          0,
+        ),
+        repeats: buckets.reduce((sum, { retries }) => sum + retries, 0),
       }]),
     );
   }
 
-  #openBucket(service: string): Bucket {
+  #currentBucket(service: string): Bucket {
     const now = this.#clock.now();
     const { windowMs } = this.#limits;
-    const widthMs = windowMs / BUCKETS_PER_WINDOW;
+    const bucketMs = windowMs / BUCKETS_PER_WINDOW;
     const buckets = (this.#services.get(service) ?? [])
-      .filter(({ startedAt }) => now - startedAt < windowMs + widthMs);
+      .filter(({ startedAt }) => now - startedAt < windowMs + bucketMs);
     let last = buckets.at(-1);
-    if (last === undefined || now - last.startedAt >= widthMs) {
-      last = { startedAt: now, first: 0, repeats: 0 };
+    if (last === undefined || now - last.startedAt >= bucketMs) {
+      last = { startedAt: now, firstAttempts: 0, retries: 0 };
       buckets.push(last);
     }
     this.#services.set(service, buckets);
--- a/packages/relay/src/routing/route-table.ts
+++ b/packages/relay/src/routing/route-table.ts
@@ -1,5 +1,5 @@
 /**
- * Finds the route and the account of a request.
+ * Lookup of a request's route, service and account.
  *
  * @module
  */
@@ -11,7 +11,7 @@
   Service,
 } from "../model/configuration.ts";
 
-/** Indexes of one configuration. */
+/** Looks up the routes, services and accounts of one configuration. */
 export class RouteTable {
   readonly configuration: Configuration;
   /** Routes of each host, the longest prefix first. */
@@ -36,11 +36,11 @@
     }
   }
 
-  /** The route with the longest prefix of the path. */
+  /** The route with the longest path prefix that matches. */
   findRoute(host: string, path: string): Route | undefined {
-    const name = host.toLowerCase();
-    const routes = this.#routes.get(name) ??
-      this.#routes.get(name.replace(/:\d+$/, ""));
+    const hostname = host.toLowerCase();
+    const routes = this.#routes.get(hostname) ??
+      this.#routes.get(hostname.replace(/:\d+$/, ""));
     return routes?.find(({ pathPrefix }) => path.startsWith(pathPrefix));
   }
 
@@ -53,16 +53,16 @@
     return this.#services.get(name);
   }
 
-  /** Draws one of a route's services by weight. */
+  /** Picks one of a route's services at random, by weight. */
   pickService(route: Route, random: Random): Service | undefined {
     const total = route.destinations.reduce(
       (sum, { weight }) => sum + weight,
       0,
     );
-    let left = random.fraction() * total;
+    let remaining = random.fraction() * total;
     for (const { service, weight } of route.destinations) {
-      left -= weight;
-      if (left < 0) {
+      remaining -= weight;
+      if (remaining < 0) {
         return this.findService(service);
       }
     }
--- a/packages/relay/test/routing/many-nodes.test.ts
+++ b/packages/relay/test/routing/many-nodes.test.ts
@@ -14,41 +14,41 @@
   name: "engines",
   engine: { ...ENGINE, slots: SLOTS },
 } as ServiceProfile;
-/** A beat goes out this often for each peer, and at least every 150 ms. */
-const BEAT_MS_PER_PEER = 15;
-const MIN_BEAT_MS = 150;
+/** Heartbeat intervals, as in the mesh. */
+const HEARTBEAT_INTERVAL_MS_PER_PEER = 15;
+const MIN_HEARTBEAT_INTERVAL_MS = 150;
 const REQUEST_MS = 1200;
 const WARM_UP_MS = 1000;
-const PLAY_MS = 10_000;
-const SAMPLE_MS = 50;
+const SIMULATION_MS = 10_000;
+const SAMPLE_INTERVAL_MS = 50;
 const SEEDS = [1, 2, 3];
 const TARGET_MS = 250;
-/** In a full group, a place comes free in this time. */
-const MS_PER_FREE_PLACE = REQUEST_MS / SLOTS;
-const MIN_USE = 0.9;
+/** In a full group, slots are released at this interval. */
+const SLOT_RELEASE_INTERVAL_MS = REQUEST_MS / SLOTS;
+const MIN_UTILIZATION = 0.9;
 
-/** A deployment of nodes in front of groups of one model. */
-interface Scale {
+/** Nodes in front of groups of one model. */
+interface Deployment {
   readonly nodes: number;
   readonly groups: number;
 }
 
-/** Requests in progress, as the engines would see them. */
-interface Load {
-  /** The most that any group had at once. */
-  readonly most: number;
-  /** What 95 in 100 requests found at their group at the most. */
-  readonly found95: number;
-  /** Requests in progress for each place, on average. */
-  readonly perPlace: number;
+/** Requests in progress, as the engines see them. */
+interface LoadStatistics {
+  /** The maximum of any group. */
+  readonly maxPerGroup: number;
+  /** The 95th percentile of requests that a new one found at its group. */
+  readonly foundP95: number;
+  /** The mean for each slot. */
+  readonly perSlot: number;
 }
 
 interface Node {
   readonly name: string;
-  readonly work: PeerLoads;
+  readonly peerLoads: PeerLoads;
   readonly dispatcher: Dispatcher;
   readonly outstanding: OutstandingRequests;
-  readonly readBeat: () => readonly OutstandingCount[];
+  readonly readCounts: () => readonly OutstandingCount[];
 }
 
 function createGroups(count: number): Group[] {
@@ -72,12 +72,12 @@
   random: SeededRandom,
   groups: readonly Group[],
 ): Promise<Node> {
-  const work = new PeerLoads();
-  let readBeat: () => readonly OutstandingCount[] = () => [];
+  const peerLoads = new PeerLoads();
+  let readCounts: () => readonly OutstandingCount[] = () => [];
   const mesh = {
-    peerLoads: work,
-    setOutstandingSource: (source: typeof readBeat) => {
-      readBeat = source;
+    peerLoads,
+    setOutstandingSource: (source: typeof readCounts) => {
+      readCounts = source;
     },
   };
   const kernel: RelayKernel = new Kernel<RelayServices>();
@@ -101,52 +101,57 @@
   await kernel.start();
   const outstanding = kernel.find("outstanding");
   const dispatcher = new Dispatcher(kernel);
-  return { name, work, dispatcher, outstanding, readBeat };
+  return { name, peerLoads, dispatcher, outstanding, readCounts };
 }
 
 /**
- * Plays independent arrivals, a beat of each node in turn, and requests of one
- * length. `offered` is the load as a share of all places.
+ * Simulates independent arrivals, heartbeats of the nodes in turn, and requests
+ * of equal duration. `offeredLoad` is a share of all slots.
  */
-async function play(
-  scale: Scale,
+async function simulate(
+  deployment: Deployment,
   seed: number,
-  offered: number,
-): Promise<Load> {
+  offeredLoad: number,
+): Promise<LoadStatistics> {
   const clock = new ManualClock();
   const random = new SeededRandom(seed);
-  const groups = createGroups(scale.groups);
+  const groups = createGroups(deployment.groups);
   const nodes = await Promise.all(
     Array.from(
-      { length: scale.nodes },
+      { length: deployment.nodes },
       (_, index) => createNode(`n-${index}`, clock, random, groups),
     ),
   );
   const inFlight = new Map<string, number>();
-  const add = (lead: string, change: number) =>
+  const addInFlight = (lead: string, change: number) =>
     inFlight.set(lead, (inFlight.get(lead) ?? 0) + change);
   const found: number[] = [];
-  let most = 0;
+  let maxPerGroup = 0;
   let sum = 0;
   let samples = 0;
 
-  const beatMs = Math.max(MIN_BEAT_MS, BEAT_MS_PER_PEER * (scale.nodes - 1));
-  const beat = (node: Node) => {
-    const counts = node.readBeat();
+  const intervalMs = Math.max(
+    MIN_HEARTBEAT_INTERVAL_MS,
+    HEARTBEAT_INTERVAL_MS_PER_PEER * (deployment.nodes - 1),
+  );
+  const sendHeartbeat = (node: Node) => {
+    const counts = node.readCounts();
     nodes.filter((other) => other !== node)
-      .forEach(({ work }) => work.update(node.name, counts, clock.now()));
-    clock.schedule(beatMs, () => beat(node));
+      .forEach(({ peerLoads }) =>
+        peerLoads.update(node.name, counts, clock.now())
+      );
+    clock.schedule(intervalMs, () => sendHeartbeat(node));
   };
   nodes.forEach((node, index) =>
-    clock.schedule(index * beatMs / nodes.length, () => beat(node))
+    clock.schedule(index * intervalMs / nodes.length, () => sendHeartbeat(node))
   );
 
-  const places = scale.groups * SLOTS;
-  const arrivalMs = REQUEST_MS / (places * offered);
+  const slots = deployment.groups * SLOTS;
+  const arrivalMs = REQUEST_MS / (slots * offeredLoad);
   const arrive = () => {
     const node = nodes[random.below(nodes.length)]!;
     clock.schedule(-Math.log(1 - random.fraction()) * arrivalMs, arrive);
-    const chosen = node.dispatcher.select({
+    const selected = node.dispatcher.select({
       service: SERVICE,
       model: LARGE.name,
       rank: 0,
@@ -154,66 +159,67 @@
       excluded: new Set(),
       mayHaveRun: false,
     });
-    if (chosen.isErr) {
+    if (selected.isErr) {
       return;
     }
-    const { instance, group } = chosen.value;
-    const ticket = node.outstanding.begin(instance.id, group, false);
+    const { instance, group } = selected.value;
+    const request = node.outstanding.begin(instance.id, group, false);
     found.push(inFlight.get(instance.id) ?? 0);
-    add(instance.id, 1);
+    addInFlight(instance.id, 1);
     clock.schedule(REQUEST_MS, () => {
-      ticket.end();
-      add(instance.id, -1);
+      request.end();
+      addInFlight(instance.id, -1);
     });
   };
   clock.schedule(0, arrive);
 
   const sample = () => {
     const loads = [...inFlight.values()];
-    most = Math.max(most, ...loads);
+    maxPerGroup = Math.max(maxPerGroup, ...loads);
     sum += loads.reduce((total, load) => total + load, 0);
     samples++;
-    clock.schedule(SAMPLE_MS, sample);
+    clock.schedule(SAMPLE_INTERVAL_MS, sample);
   };
   clock.schedule(WARM_UP_MS, sample);
-  await clock.advance(PLAY_MS);
+  await clock.advance(SIMULATION_MS);
   await Promise.all(nodes.map(({ outstanding }) => outstanding.stop()));
   found.sort((a, b) => a - b);
   return {
-    most,
-    found95: found[Math.floor(found.length * 0.95)]!,
-    perPlace: sum / samples / places,
+    maxPerGroup,
+    foundP95: found[Math.floor(found.length * 0.95)]!,
+    perSlot: sum / samples / slots,
   };
 }
 
-describe("nodes that choose groups by each other's counts", () => {
-  describe.each<Scale>([
+describe("nodes that select groups by the counts of their peers", () => {
+  describe.each<Deployment>([
     { nodes: 4, groups: 10 },
     { nodes: 32, groups: 13 },
     { nodes: 100, groups: 40 },
-  ])("$nodes nodes before $groups groups", (scale) => {
-    // Guards against the incident SHORT: all nodes gave their requests to the
-    // group that had had the fewest, and its first tokens came late.
+  ])("$nodes nodes in front of $groups groups", (deployment) => {
+    // Guards against a cause of the incident SHORT: all nodes sent their requests
+    // to the group with the lowest reported count, and its first tokens were late.
     it.each(SEEDS)(
-      "fill no group beyond its places while half of all places are free (seed %i)",
+      "exceed the slots of no group while half of all slots are free (seed %i)",
       async (seed) => {
-        const { most } = await play(scale, seed, 0.5);
-        expect(most).toBeLessThanOrEqual(SLOTS);
+        const { maxPerGroup } = await simulate(deployment, seed, 0.5);
+        expect(maxPerGroup).toBeLessThanOrEqual(SLOTS);
       },
     );
   });
 
-  describe("under more load than there are places", () => {
-    // Guards against the incident SHORT: every node gave what it could not place
-    // elsewhere to the one group that still seemed to have room.
+  describe("with more load than slots", () => {
+    // Guards against a cause of the incident SHORT: every node sent the requests
+    // that it could not assign elsewhere to the only group that seemed to have
+    // room.
     it.each(SEEDS)(
-      "let 95 in 100 find a place within the target, and leave none free (seed %i)",
+      "let 95 in 100 requests get a slot within the target, and leave none idle (seed %i)",
       async (seed) => {
-        const scale = { nodes: 32, groups: 8 };
-        const { found95, perPlace } = await play(scale, seed, 1.5);
-        const waitMs = (found95 - SLOTS) * MS_PER_FREE_PLACE;
+        const deployment = { nodes: 32, groups: 8 };
+        const { foundP95, perSlot } = await simulate(deployment, seed, 1.5);
+        const waitMs = (foundP95 - SLOTS) * SLOT_RELEASE_INTERVAL_MS;
         expect(waitMs).toBeLessThanOrEqual(TARGET_MS);
-        expect(perPlace).toBeGreaterThan(MIN_USE);
+        expect(perSlot).toBeGreaterThan(MIN_UTILIZATION);
       },
     );
   });
--- a/packages/relay/test/routing/outstanding-requests.test.ts
+++ b/packages/relay/test/routing/outstanding-requests.test.ts
@@ -6,34 +6,34 @@
 const GROUP = { name: "large~7", epoch: 7 };
 const LEAD = "i-1";
 
-/** Requests in progress over groups and peers that only record. */
+/** Creates the service with groups and peers that only count calls. */
 async function create() {
   const clock = new ManualClock();
-  const world = {
+  const env = {
     clock,
     isSuspectedByPeer: false,
-    suspected: 0,
-    checked: 0,
-    told: 0,
+    suspicions: 0,
+    checks: 0,
+    broadcasts: 0,
     peerEventAt: -Infinity,
   };
   const groups = {
-    isSuspected: () => world.isSuspectedByPeer,
+    isSuspected: () => env.isSuspectedByPeer,
     suspect: () => {
-      world.suspected++;
+      env.suspicions++;
     },
     clear: () => {},
   };
   const mesh = {
-    peerLoads: { count: () => 0, findLastEventAt: () => world.peerEventAt },
+    peerLoads: { count: () => 0, findLastEventAt: () => env.peerEventAt },
     setOutstandingSource: () => {},
     broadcast: () => {
-      world.told++;
+      env.broadcasts++;
     },
   };
   const placement = {
     check: () => {
-      world.checked++;
+      env.checks++;
     },
   };
   const silent = { error() {}, warn() {}, info() {}, debug() {} };
@@ -47,7 +47,7 @@
   await kernel.start();
   const outstanding = new OutstandingRequests(kernel);
   outstanding.start();
-  return { world, outstanding };
+  return { env, outstanding };
 }
 
 describe("OutstandingRequests", () => {
@@ -62,81 +62,81 @@
   }
 
   describe("streams that have begun", () => {
-    it("show a group that stands still within 0.4 s", async () => {
-      const { world, outstanding } = await start();
-      const tickets = [1, 2].map(() => outstanding.begin(LEAD, GROUP, true));
+    it("reveal a stalled group within 0.4 s", async () => {
+      const { env, outstanding } = await start();
+      const requests = [1, 2].map(() => outstanding.begin(LEAD, GROUP, true));
       const stalled: number[] = [];
-      tickets.forEach((ticket, index) => {
-        ticket.recordEvent();
-        ticket.onStall(() => stalled.push(index));
+      requests.forEach((request, index) => {
+        request.recordEvent();
+        request.onStall(() => stalled.push(index));
       });
-      await world.clock.advance(300);
-      expect(world.suspected).toBe(0);
-      await world.clock.advance(100);
-      expect(world).toMatchObject({ suspected: 1, told: 1, checked: 1 });
+      await env.clock.advance(300);
+      expect(env.suspicions).toBe(0);
+      await env.clock.advance(100);
+      expect(env).toMatchObject({ suspicions: 1, broadcasts: 1, checks: 1 });
       expect(stalled).toEqual([0, 1]);
     });
 
-    it("are no less evidence when events came to another node", async () => {
-      const { world, outstanding } = await start();
+    it("are evidence even if events reach another node", async () => {
+      const { env, outstanding } = await start();
       outstanding.begin(LEAD, GROUP, true).recordEvent();
-      await world.clock.advance(300);
-      world.peerEventAt = world.clock.now();
-      await world.clock.advance(100);
-      expect(world.suspected).toBe(1);
+      await env.clock.advance(300);
+      env.peerEventAt = env.clock.now();
+      await env.clock.advance(100);
+      expect(env.suspicions).toBe(1);
     });
 
-    it("show progress of the group for each other", async () => {
-      const { world, outstanding } = await start();
+    it("count as progress of the group for each other", async () => {
+      const { env, outstanding } = await start();
       const [first, second] = [1, 2].map(() =>
         outstanding.begin(LEAD, GROUP, true)
       );
       second!.recordEvent();
       for (let event = 0; event < 10; event++) {
         first!.recordEvent();
-        await world.clock.advance(200);
+        await env.clock.advance(200);
       }
-      expect(world.suspected).toBe(0);
+      expect(env.suspicions).toBe(0);
     });
   });
 
   describe("requests without an event", () => {
-    it("may wait behind long prompts, which half of the alarms took for a broken group", async () => {
-      const { world, outstanding } = await start();
+    it("may wait behind long prompts, which half of all alarms took for a stall", async () => {
+      const { env, outstanding } = await start();
       [1, 2, 3].forEach(() => outstanding.begin(LEAD, GROUP, true));
-      await world.clock.advance(500);
-      expect(world.suspected).toBe(0);
-      await world.clock.advance(200);
-      expect(world.suspected).toBe(1);
+      await env.clock.advance(500);
+      expect(env.suspicions).toBe(0);
+      await env.clock.advance(200);
+      expect(env.suspicions).toBe(1);
     });
 
-    it("say nothing while events come to another node", async () => {
-      const { world, outstanding } = await start();
+    it("are no evidence while events reach another node", async () => {
+      const { env, outstanding } = await start();
       outstanding.begin(LEAD, GROUP, true);
-      for (let beat = 0; beat < 5; beat++) {
-        world.peerEventAt = world.clock.now() - 50;
-        await world.clock.advance(450);
+      for (let round = 0; round < 5; round++) {
+        env.peerEventAt = env.clock.now() - 50;
+        await env.clock.advance(450);
       }
-      expect(world.suspected).toBe(0);
-      await world.clock.advance(200);
-      expect(world.suspected).toBe(1);
+      expect(env.suspicions).toBe(0);
+      await env.clock.advance(200);
+      expect(env.suspicions).toBe(1);
     });
 
-    it("count sooner when another node suspects the group", async () => {
-      const { world, outstanding } = await start();
+    it("are evidence sooner if another node suspects the group", async () => {
+      const { env, outstanding } = await start();
       outstanding.begin(LEAD, GROUP, true);
-      world.isSuspectedByPeer = true;
-      await world.clock.advance(400);
-      expect(world.suspected).toBe(1);
+      env.isSuspectedByPeer = true;
+      await env.clock.advance(400);
+      expect(env.suspicions).toBe(1);
     });
   });
 
-  describe("whole answers", () => {
-    it("say nothing of a group before they end", async () => {
-      const { world, outstanding } = await start();
+  describe("responses that are no streams", () => {
+    it("are no evidence before they end", async () => {
+      const { env, outstanding } = await start();
       outstanding.begin(LEAD, GROUP, false);
-      await world.clock.advance(5000);
-      expect(world.suspected).toBe(0);
+      await env.clock.advance(5000);
+      expect(env.suspicions).toBe(0);
     });
   });
 });
--- a/packages/relay/test/routing/retry-budget.test.ts
+++ b/packages/relay/test/routing/retry-budget.test.ts
@@ -7,43 +7,52 @@
 
 describe("RetryBudget", () => {
   describe("over all nodes", () => {
-    it("keeps the sum of repeats in any window below the shared limit", async () => {
+    it("keeps the retries in any window below the common limit", async () => {
       await fc.assert(
         fc.asyncProperty(
           fc.array(fc.nat(30), { minLength: 20, maxLength: 60 }),
           fc.integer({ min: 1, max: 5 }),
-          async (firsts, nodes) => {
+          async (attemptCounts, nodes) => {
             const clock = new ManualClock();
             const budgets = Array.from(
               { length: nodes },
               () => new RetryBudget(clock, LIMITS, () => nodes),
             );
-            const taken: { at: number; first: number; repeats: number }[] = [];
-            for (const count of firsts) {
-              let repeats = 0;
+            const rounds: {
+              at: number;
+              firstAttempts: number;
+              retries: number;
+            }[] = [];
+            for (const count of attemptCounts) {
+              let retries = 0;
               for (const budget of budgets) {
                 for (let i = 0; i < count; i++) {
                   budget.deposit("s");
-                  repeats += Number(budget.tryWithdraw("s"));
+                  retries += Number(budget.tryWithdraw("s"));
                 }
               }
-              const first = count * nodes;
-              taken.push({ at: clock.now(), first, repeats });
+              const firstAttempts = count * nodes;
+              rounds.push({ at: clock.now(), firstAttempts, retries });
               await clock.advance(700);
             }
-            for (const { at } of taken) {
-              const window = taken.filter((other) =>
+            for (const { at } of rounds) {
+              const window = rounds.filter((other) =>
                 other.at >= at && other.at < at + LIMITS.windowMs
               );
-              const repeats = window.reduce((sum, w) => sum + w.repeats, 0);
-              const first = taken
+              const retries = window.reduce(
+                (sum, round) => sum + round.retries,
+                0,
+              );
+              const firstAttempts = rounds
                 .filter((other) =>
                   other.at >= at - LIMITS.windowMs &&
                   other.at < at + LIMITS.windowMs
                 )
-                .reduce((sum, w) => sum + w.first, 0);
-              expect(repeats)
-                .toBeLessThanOrEqual(LIMITS.ratio * first + LIMITS.allowance);
+                .reduce((sum, round) => sum + round.firstAttempts, 0);
+              expect(retries)
+                .toBeLessThanOrEqual(
+                  LIMITS.ratio * firstAttempts + LIMITS.allowance,
+                );
             }
           },
         ),
@@ -53,7 +62,7 @@
   });
 
   describe("one service", () => {
-    it("does not use what another one has left", () => {
+    it("does not use the budget of another service", () => {
       const budget = new RetryBudget(
         new ManualClock(),
         { ...LIMITS, allowance: 0 },
--- a/packages/relay/test/routing/route-table.test.ts
+++ b/packages/relay/test/routing/route-table.test.ts
@@ -42,37 +42,37 @@
   const table = new RouteTable(CONFIGURATION);
 
   describe("findRoute", () => {
-    it("takes the longest prefix that begins the path", () => {
+    it("selects the longest matching path prefix", () => {
       expect(table.findRoute("calls.example", "/a/b/c")?.name).toBe("long");
       expect(table.findRoute("calls.example", "/a/c")?.name).toBe("short");
     });
 
-    it("compares hosts without case and without the port", () => {
+    it("ignores the case and the port of the host", () => {
       expect(table.findRoute("CALLS.example:8080", "/a/")?.name).toBe("short");
     });
 
-    it("finds nothing for a path that is only the prefix's beginning", () => {
+    it("finds no route for a part of a prefix or for another host", () => {
       expect(table.findRoute("calls.example", "/a")).toBeUndefined();
       expect(table.findRoute("other.example", "/a/")).toBeUndefined();
     });
   });
 
   describe("pickService", () => {
-    it("divides requests by weight", () => {
+    it("distributes requests by weight", () => {
       const random = new SeededRandom(7);
       const route = table.findRoute("calls.example", "/a/")!;
-      const drawn = Array.from(
+      const picked = Array.from(
         { length: 1000 },
         () => table.pickService(route, random)?.name,
       );
-      const share = drawn.filter((name) => name === "new").length / 1000;
+      const share = picked.filter((name) => name === "new").length / 1000;
       expect(share).toBeGreaterThan(0.05);
       expect(share).toBeLessThan(0.15);
     });
   });
 
   describe("findAccount", () => {
-    it("knows every key of an account and no other", () => {
+    it("finds an account by each of its keys and by no other key", () => {
       expect(table.findAccount("k2")?.name).toBe("north");
       expect(table.findAccount("k3")).toBeUndefined();
     });
