--- a/packages/relay/src/placement/lead-release.ts
+++ b/packages/relay/src/placement/lead-release.ts
@@ -15,13 +15,13 @@
   TaskGroup,
   withDeadline,
 } from "@zinniahill/kernel";
-import { createGroupKey, type Target } from "../hosts/groups.ts";
+import { createGroupKey, type InstanceEndpoint } from "../hosts/groups.ts";
 import type { OrderReply } from "../model/order.ts";
-import type { LeadAttempt, MessageOf } from "../model/peer-message.ts";
-import type { Engines } from "../outside.ts";
+import type { LeadReleaseOutcome, MessageOf } from "../model/peer-message.ts";
+import type { EngineControl } from "../adapter.ts";
 import type { Mesh } from "../peers/mesh.ts";
 import type { RelayKernel } from "../services.ts";
-import { isMemberOf } from "./orders.ts";
+import { isMemberOf } from "./order-sender.ts";
 
 const ATTEMPTS = 2;
 const ATTEMPT_TIMEOUT_MS = 250;
@@ -32,20 +32,20 @@
  * What became of a lead, as far as all nodes together could find out: it is
  * `absent` when none of them reaches it, and `unknown` when too few answered.
  */
-export type ReleaseOutcome = "left" | "present" | "absent" | "unknown";
+export type LeadPresence = "left" | "present" | "absent" | "unknown";
 
 /** A release that waits for the attempts of all nodes. */
 interface Release {
   /** Names of the nodes that try. */
   readonly nodes: ReadonlySet<string>;
-  readonly attempts: Map<string, LeadAttempt>;
+  readonly attempts: Map<string, LeadReleaseOutcome>;
 }
 
 /** Sends leads away, for itself and for the node that holds placement. */
 export class LeadRelease implements Service {
   #clock: Clock;
   #logger: Logger;
-  #engines: Engines;
+  #engines: EngineControl;
   #mesh: Mesh;
   #tasks: TaskGroup;
   #releases = new Map<string, Release>();
@@ -82,12 +82,12 @@
 
   /** Asks every node to make the lead leave; the best outcome counts. */
   async release(
-    { id, address }: Target,
+    { id, address }: InstanceEndpoint,
     group: string,
     epoch: number,
     fence: number,
     signal: AbortSignal,
-  ): Promise<ReleaseOutcome> {
+  ): Promise<LeadPresence> {
     const key = createGroupKey(group, epoch);
     const own = this.#mesh.ownEntry.name;
     const peers = this.#mesh.list().map(({ entry }) => entry.name);
@@ -118,7 +118,7 @@
       signal.throwIfAborted();
     });
     this.#releases.delete(key);
-    const outcome = judgeRelease(release, this.#mesh.countNodes());
+    const outcome = combineOutcomes(release, this.#mesh.countNodes());
     this.#logger.info("unlisted_lead_released", {
       group,
       epoch,
@@ -138,7 +138,7 @@
     }));
   }
 
-  #note(key: string, node: string, outcome: LeadAttempt): void {
+  #note(key: string, node: string, outcome: LeadReleaseOutcome): void {
     this.#releases.get(key)?.attempts.set(node, outcome);
     this.#changed.notify();
   }
@@ -150,11 +150,11 @@
   async #try(
     { lead, address, group, epoch, fence }: MessageOf<"release">,
     signal: AbortSignal,
-  ): Promise<LeadAttempt> {
+  ): Promise<LeadReleaseOutcome> {
     const target = { id: lead, address };
-    let outcome: LeadAttempt = "unreachable";
+    let outcome: LeadReleaseOutcome = "unreachable";
     for (let attempt = 1; attempt <= ATTEMPTS; attempt++) {
-      const reply = await this.#engines.order(
+      const reply = await this.#engines.sendOrder(
         target,
         { kind: "leave", group, epoch },
         { fence },
@@ -165,7 +165,7 @@
       if (reply.isOk && HAS_LEFT[reply.value]) {
         return "left";
       }
-      const report = await this.#engines.report(
+      const report = await this.#engines.requestReport(
         target,
         ATTEMPT_TIMEOUT_MS,
         signal,
@@ -199,10 +199,10 @@
  * connected nodes, and of more than half of all that are known: a lead that is
  * cut off from some of them is reached by another.
  */
-export function judgeRelease(
+export function combineOutcomes(
   { nodes, attempts }: Release,
   knownNodes: number,
-): ReleaseOutcome {
+): LeadPresence {
   const outcomes = [...attempts.values()];
   if (outcomes.includes("left")) {
     return "left";
--- a/packages/relay/src/placement/orders.ts
+++ b/packages/relay/src/placement/order-sender.ts
@@ -5,12 +5,12 @@
  */
 import type { Clock, Logger } from "@zinniahill/kernel";
 import type { Instances } from "../hosts/instances.ts";
-import type { Instance, Membership, Report } from "../model/instance.ts";
+import type { EngineReport, Instance, Membership } from "../model/instance.ts";
 import type { Order, OrderReply } from "../model/order.ts";
-import type { Engines } from "../outside.ts";
+import type { EngineControl } from "../adapter.ts";
 import type { RelayMetrics } from "../relay-metrics.ts";
 import type { RelayKernel } from "../services.ts";
-import type { Holder } from "./holder.ts";
+import type { HolderElector } from "./holder-elector.ts";
 
 /** A formation or dissolution cannot go on. */
 export class PlacementError extends Error {
@@ -23,11 +23,11 @@
 const REPEAT_PAUSE_MS = 50;
 
 /** Gives orders in the name of the node that holds placement. */
-export class Orders {
+export class OrderSender {
   #clock: Clock;
   #logger: Logger;
-  #engines: Engines;
-  #holder: Holder;
+  #engines: EngineControl;
+  #holder: HolderElector;
   #instances: Instances;
   #metrics: RelayMetrics;
 
@@ -41,12 +41,12 @@
   }
 
   /** Asks an instance for its state; undefined when it does not answer. */
-  async ask(
+  async requestReport(
     instance: Instance,
     signal: AbortSignal,
-  ): Promise<Report | undefined> {
+  ): Promise<EngineReport | undefined> {
     for (let attempt = 1; attempt <= ATTEMPTS - 1; attempt++) {
-      const report = await this.#engines.report(
+      const report = await this.#engines.requestReport(
         instance,
         REPLY_TIMEOUT_MS,
         signal,
@@ -69,23 +69,23 @@
    * a repeat is accepted only if no order was carried out in between. A first
    * order needs no such condition: its epoch is newer than all others.
    */
-  async give(
+  async send(
     id: string,
     order: Order,
-    isDone: (report: Report) => boolean,
+    isDone: (report: EngineReport) => boolean,
     signal: AbortSignal,
   ): Promise<void> {
     let orderCount: number | undefined;
     for (let attempt = 1; attempt <= ATTEMPTS; attempt++) {
-      const reply = await this.#send(id, order, orderCount, signal);
+      const reply = await this.#sendOnce(id, order, orderCount, signal);
       if (reply === "accepted" || reply === "done") {
         return;
       }
       if (reply === "fenced") {
-        this.#holder.noteFenced();
+        this.#holder.loseToFence();
         throw new PlacementError(`${id} has seen a later fencing number`);
       }
-      const report = await this.ask(this.#find(id), signal);
+      const report = await this.requestReport(this.#find(id), signal);
       if (report === undefined) {
         throw new PlacementError(`${id} does not answer`);
       }
@@ -106,7 +106,7 @@
     return instance;
   }
 
-  async #send(
+  async #sendOnce(
     id: string,
     order: Order,
     orderCount: number | undefined,
@@ -116,7 +116,7 @@
       throw new PlacementError("this node no longer holds placement");
     }
     const { fence } = this.#holder;
-    const reply = await this.#engines.order(
+    const reply = await this.#engines.sendOrder(
       this.#find(id),
       order,
       { fence, orderCount },
@@ -125,7 +125,7 @@
     );
     signal.throwIfAborted();
     const outcome = reply.isOk ? reply.value : "no-reply";
-    this.#metrics.noteOrder(order.kind, outcome);
+    this.#metrics.recordOrder(order.kind, outcome);
     this.#logger.info("order_given", {
       instance: id,
       order: order.kind,
@@ -141,7 +141,10 @@
 }
 
 /** Whether a report comes from the process that the store lists. */
-export function isSameProcess(instance: Instance, report: Report): boolean {
+export function isSameProcess(
+  instance: Instance,
+  report: EngineReport,
+): boolean {
   return report.bornAt === undefined || report.bornAt === instance.bornAt;
 }
 
--- a/packages/relay/src/relay-metrics.ts
+++ b/packages/relay/src/relay-metrics.ts
@@ -1,5 +1,5 @@
 /**
- * Counters and latency histograms, as text for a collector that reads them.
+ * Counters and latency histograms in the Prometheus text format.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import type { Route } from "./model/configuration.ts";
 import type { Order, OrderReply } from "./model/order.ts";
-import type { Answer } from "./serving/answers.ts";
+import type { DeliveredResponse } from "./serving/request-handlers.ts";
 
 const MS_PER_SECOND = 1000;
 const LATENCY_BUCKETS_S = [
@@ -41,14 +41,14 @@
     labelNames: ["code", "verdict"],
     registers: [this.#registry],
   });
-  #firstByte = new Histogram({
+  #firstByteTime = new Histogram({
     name: "zinniahill_first_byte_seconds",
     help: "Time from the request's head to the first byte of the answer",
     labelNames: ["kind", "rank"],
     buckets: LATENCY_BUCKETS_S,
     registers: [this.#registry],
   });
-  #total = new Histogram({
+  #answerTime = new Histogram({
     name: "zinniahill_answer_seconds",
     help: "Time from the request's head to the last byte of the answer",
     labelNames: ["kind", "rank"],
@@ -79,21 +79,25 @@
   });
 
   /** Counts an order to an engine. */
-  noteOrder(order: Order["kind"], outcome: OrderReply | "no-reply"): void {
+  recordOrder(order: Order["kind"], outcome: OrderReply | "no-reply"): void {
     this.#orders.inc({ order, outcome });
   }
 
-  /** Counts an answer and its times. */
-  noteAnswer(
+  /** Records a delivered response and its latencies. */
+  recordResponse(
     { kind, rank }: Route,
-    { status, firstByteAt, longestGapMs, load, upstreamLoad }: Answer,
+    { status, firstByteAt, longestGapMs, load, upstreamLoad }:
+      DeliveredResponse,
     receivedAt: number,
     endedAt: number,
   ): void {
     const labels = { kind, rank: String(rank) };
     this.#answers.inc({ ...labels, status: String(status) });
-    this.#firstByte.observe(labels, (firstByteAt - receivedAt) / MS_PER_SECOND);
-    this.#total.observe(labels, (endedAt - receivedAt) / MS_PER_SECOND);
+    this.#firstByteTime.observe(
+      labels,
+      (firstByteAt - receivedAt) / MS_PER_SECOND,
+    );
+    this.#answerTime.observe(labels, (endedAt - receivedAt) / MS_PER_SECOND);
     if (upstreamLoad !== undefined) {
       this.#loadError.observe({ kind }, upstreamLoad - load);
     }
@@ -106,11 +110,11 @@
   }
 
   /** Counts a refusal. */
-  noteRefusal({ code, verdict }: Refusal): void {
+  recordRefusal({ code, verdict }: Refusal): void {
     this.#refusals.inc({ code, verdict });
   }
 
-  /** Adds a value that is read whenever the metrics are. */
+  /** Adds a gauge whose value is read at each scrape. */
   addGauge(name: string, help: string, read: () => number): void {
     new Gauge({
       name: `zinniahill_${name}`,
@@ -126,7 +130,7 @@
     this.#registry.clear();
   }
 
-  /** All metrics in the usual text format. */
+  /** Renders all metrics in the Prometheus text format. */
   render(): Promise<string> {
     return this.#registry.metrics();
   }
--- a/packages/relay/src/routing/dispatcher.ts
+++ b/packages/relay/src/routing/dispatcher.ts
@@ -8,10 +8,7 @@
 import { Result } from "true-myth";
 import type { Group, Groups } from "../hosts/groups.ts";
 import type { Instances } from "../hosts/instances.ts";
-import type {
-  EngineProfile,
-  Service as ServiceProfile,
-} from "../model/configuration.ts";
+import type { EngineProfile, ServiceProfile } from "../model/configuration.ts";
 import type { Instance } from "../model/instance.ts";
 import type { RelayKernel } from "../services.ts";
 import { selectByLoad } from "./load-balancing.ts";
@@ -100,7 +97,7 @@
   #selectPlainInstance(
     criteria: SelectionCriteria,
   ): Result<Selection, Refusal> {
-    const listed = this.#instances.listReady(criteria.service.name);
+    const listed = this.#instances.listAvailable(criteria.service.name);
     const reachable = listed.filter((instance) => this.#isReachable(instance));
     const instances = reachable.length > 0 ? reachable : listed;
     const candidates = instances
--- a/packages/relay/src/routing/outstanding-requests.ts
+++ b/packages/relay/src/routing/outstanding-requests.ts
@@ -215,7 +215,7 @@
   #recordEvent(target: InstanceRequests): void {
     target.lastEventAt = this.#clock.now();
     if (target.group !== undefined && this.#groups.isSuspected(target.group)) {
-      this.#groups.clear(target.group.name, target.group.epoch);
+      this.#groups.clearSuspicion(target.group.name, target.group.epoch);
     }
   }
 
@@ -274,7 +274,7 @@
     });
     this.#groups.suspect(name, epoch, "own requests");
     this.#mesh.broadcast({ kind: "suspect", instance, group: name, epoch });
-    this.#placement.check(name, epoch);
+    this.#placement.checkGroup(name, epoch);
     for (const request of newlyStalled) {
       request.isStalled = true;
       request.listener();
--- a/packages/relay/src/services.ts
+++ b/packages/relay/src/services.ts
@@ -5,7 +5,7 @@
  */
 import type { PeerTransport } from "@zinniahill/clients";
 import type { Clock, Kernel, Logger, Random } from "@zinniahill/kernel";
-import type { Intake } from "./entry/intake.ts";
+import type { CapacityMonitor } from "./entry/capacity-monitor.ts";
 import type { Lookup } from "./entry/lookup.ts";
 import type { Readiness } from "./entry/readiness.ts";
 import type { Feeds } from "./feeds/feeds.ts";
@@ -14,38 +14,38 @@
 import type { Instances } from "./hosts/instances.ts";
 import type { Lifecycle } from "./lifecycle.ts";
 import type {
-  Engines,
+  EngineControl,
+  FeedStore,
+  HeaderCodec,
+  HolderElection,
   RecordDecoder,
-  RequestFormat,
-  Seat,
-  Topics,
-} from "./outside.ts";
+} from "./adapter.ts";
 import type { InstanceUpdates } from "./peers/instance-updates.ts";
 import type { Mesh } from "./peers/mesh.ts";
 import type { PlacementController } from "./placement/controller.ts";
 import type { Demand } from "./placement/demand.ts";
-import type { Holder } from "./placement/holder.ts";
+import type { HolderElector } from "./placement/holder-elector.ts";
 import type { LeadRelease } from "./placement/lead-release.ts";
 import type { RelayMetrics } from "./relay-metrics.ts";
 import type { RelaySettings } from "./relay-settings.ts";
 import type { CurrentConfiguration } from "./routing/current-configuration.ts";
 import type { Dispatcher } from "./routing/dispatcher.ts";
 import type { OutstandingRequests } from "./routing/outstanding-requests.ts";
-import type { Answers } from "./serving/answers.ts";
+import type { RequestHandlers } from "./serving/request-handlers.ts";
 import type { Attempts } from "./serving/attempts.ts";
-import type { Front } from "./serving/front.ts";
+import type { PublicServer } from "./serving/public-server.ts";
 
-/** What an adapter provides. */
-export interface OutsideServices {
-  topics: Topics;
-  seat: Seat;
-  engines: Engines;
+/** Services that an adapter provides. */
+export interface AdapterServices {
+  topics: FeedStore;
+  seat: HolderElection;
+  engines: EngineControl;
   decoder: RecordDecoder;
-  format: RequestFormat;
+  format: HeaderCodec;
 }
 
 /** Service types by name. */
-export interface RelayServices extends OutsideServices {
+export interface RelayServices extends AdapterServices {
   clock: Clock;
   random: Random;
   logger: Logger;
@@ -59,7 +59,7 @@
   instances: Instances;
   groups: Groups;
   mesh: Mesh;
-  holder: Holder;
+  holder: HolderElector;
   instanceNews: InstanceUpdates;
   demand: Demand;
   leadRelease: LeadRelease;
@@ -67,11 +67,11 @@
   outstanding: OutstandingRequests;
   dispatcher: Dispatcher;
   attempts: Attempts;
-  answers: Answers;
-  intake: Intake;
+  answers: RequestHandlers;
+  intake: CapacityMonitor;
   lookup: Lookup;
   readiness: Readiness;
-  front: Front;
+  front: PublicServer;
 }
 
 /** The kernel of a relay node. */
--- a/packages/relay/src/serving/relayed-request.ts
+++ b/packages/relay/src/serving/relayed-request.ts
@@ -1,32 +1,32 @@
 /**
- * A caller's request on its way to an upstream.
+ * A caller's request that is relayed to an upstream.
  *
  * @module
  */
 import type { Buffer } from "node:buffer";
 import type { IncomingMessage, ServerResponse } from "node:http";
-import type { Account, Route, Service } from "../model/configuration.ts";
-import type { RequestFacts } from "../outside.ts";
+import type { Account, Route, ServiceProfile } from "../model/configuration.ts";
+import type { RequestMetadata } from "../adapter.ts";
 
-/** A request that was read whole and whose route is known. */
+/** A request that was read completely, with its route. */
 export interface RelayedRequest {
   readonly id: string;
-  readonly request: IncomingMessage;
+  readonly incoming: IncomingMessage;
   readonly response: ServerResponse;
-  readonly facts: RequestFacts;
+  readonly metadata: RequestMetadata;
   readonly body: Buffer;
   readonly route: Route;
-  readonly service: Service;
+  readonly service: ServiceProfile;
   readonly account: Account | undefined;
   /** The account's rank, or else the route's; 0 is the most urgent. */
   readonly rank: number;
   readonly receivedAt: number;
-  /** When the caller or the route gives the request up. */
+  /** Deadline of the caller or of the route, whichever is earlier. */
   readonly deadlineAt: number;
-  /** Aborted when the caller has gone. */
-  readonly gone: AbortSignal;
-  /** Instances that it was sent to. */
+  /** Aborted when the caller disconnects. */
+  readonly callerSignal: AbortSignal;
+  /** Ids of the instances that the request was sent to. */
   readonly sentTo: Set<string>;
-  /** Whether any of them may have run it. */
+  /** Whether any of these instances may have run the request. */
   mayHaveRun: boolean;
 }
--- a/packages/relay/src/serving/request-reader.ts
+++ b/packages/relay/src/serving/request-reader.ts
@@ -1,5 +1,5 @@
 /**
- * Reads callers' requests and finds what they are about.
+ * Reads callers' requests and resolves their route, account and service.
  *
  * @module
  */
@@ -9,16 +9,16 @@
 import { Refusal } from "@zinniahill/schema";
 import type { Feeds } from "../feeds/feeds.ts";
 import type { Account, Route } from "../model/configuration.ts";
-import type { RequestFacts } from "../outside.ts";
+import type { RequestMetadata } from "../adapter.ts";
 import type { Demand } from "../placement/demand.ts";
 import type { CurrentConfiguration } from "../routing/current-configuration.ts";
 import type { RouteTable } from "../routing/route-table.ts";
 import type { RelayKernel } from "../services.ts";
-import { watchCaller } from "./caller-watch.ts";
+import { watchDisconnect } from "./caller-disconnect.ts";
 import { countHeaderBytes } from "./headers.ts";
 import type { RelayedRequest } from "./relayed-request.ts";
 
-const NO_CONFIGURATION_RETRY_MS = 200;
+const CONFIGURATION_RETRY_AFTER_MS = 200;
 
 /** Reads requests under the configuration in force. */
 export class RequestReader {
@@ -36,34 +36,46 @@
     this.#demand = kernel.find("demand");
   }
 
-  /** Reads a request and finds what it is about. */
+  /** Reads a request completely; throws a `Refusal` if it cannot be served. */
   async read(
     id: string,
-    facts: RequestFacts,
+    metadata: RequestMetadata,
     receivedAt: number,
-    request: IncomingMessage,
+    incoming: IncomingMessage,
     response: ServerResponse,
   ): Promise<RelayedRequest> {
     const table = this.#findTable();
     const { limits } = table.configuration;
-    if (countHeaderBytes(request.rawHeaders) > limits.headerBytes) {
-      throw new Refusal("head-too-large", "not-run", "the head is too large");
+    if (countHeaderBytes(incoming.rawHeaders) > limits.maxHeaderBytes) {
+      throw new Refusal(
+        "head-too-large",
+        "not-run",
+        "the request head is too large",
+      );
     }
-    const route = this.#findRoute(table, facts);
-    const account = this.#findAccount(table, route, facts);
+    const route = this.#findRoute(table, metadata);
+    const account = this.#findAccount(table, route, metadata);
     const service = table.pickService(route, this.#random);
     if (service === undefined) {
-      throw new Refusal("no-upstream", "not-run", "the service is not known");
+      throw new Refusal(
+        "no-upstream",
+        "not-run",
+        "the service is not configured",
+      );
     }
-    this.#noteDemand(service, facts);
+    this.#recordDemand(service, metadata);
     const deadlineAt = receivedAt +
-      Math.min(facts.deadlineMs ?? route.timeoutMs, route.timeoutMs);
-    const body = await this.#readBody(request, limits.bodyBytes, deadlineAt);
+      Math.min(metadata.deadlineMs ?? route.timeoutMs, route.timeoutMs);
+    const body = await this.#readBody(
+      incoming,
+      limits.maxBodyBytes,
+      deadlineAt,
+    );
     return {
       id,
-      request,
+      incoming,
       response,
-      facts,
+      metadata,
       body,
       route,
       service,
@@ -71,7 +83,7 @@
       rank: account?.rank ?? route.rank,
       receivedAt,
       deadlineAt,
-      gone: watchCaller(response),
+      callerSignal: watchDisconnect(response),
       sentTo: new Set(),
       mayHaveRun: false,
     };
@@ -83,18 +95,21 @@
       throw new Refusal(
         "no-configuration",
         "not-run",
-        "no configuration was read yet",
-        NO_CONFIGURATION_RETRY_MS,
+        "no configuration has been read yet",
+        CONFIGURATION_RETRY_AFTER_MS,
       );
     }
     return routeTable;
   }
 
-  #findRoute(table: RouteTable, { host, target }: RequestFacts): Route {
+  #findRoute(table: RouteTable, { host, target }: RequestMetadata): Route {
     const path = target.split("?", 1)[0]!;
     const route = table.findRoute(host, path);
     if (route === undefined) {
-      throw this.#refuseUnknown("not-found", "there is no such route");
+      throw this.#createUnknownRefusal(
+        "not-found",
+        "no route matches the host and path",
+      );
     }
     return route;
   }
@@ -102,67 +117,76 @@
   #findAccount(
     table: RouteTable,
     route: Route,
-    { key }: RequestFacts,
+    { apiKey }: RequestMetadata,
   ): Account | undefined {
-    const account = key === undefined ? undefined : table.findAccount(key);
-    const isNeeded = table.configuration.accounts !== undefined &&
+    const account = apiKey === undefined
+      ? undefined
+      : table.findAccount(apiKey);
+    const isKeyRequired = table.configuration.accounts !== undefined &&
       !route.isAnonymous;
-    if (isNeeded && account === undefined) {
-      throw this.#refuseUnknown("unauthorized", "the key is not known");
+    if (isKeyRequired && account === undefined) {
+      throw this.#createUnknownRefusal(
+        "unauthorized",
+        "the API key is missing or unknown",
+      );
     }
     return account;
   }
 
-  /** What an old configuration does not know may be in a newer one. */
-  #refuseUnknown(code: "not-found" | "unauthorized", message: string): Refusal {
+  /** A route or key that a stale configuration lacks may be in a newer one. */
+  #createUnknownRefusal(
+    code: "not-found" | "unauthorized",
+    message: string,
+  ): Refusal {
     return this.#feeds.isStale("configuration")
       ? new Refusal(
         "stale-configuration",
         "not-run",
         `${message} in a configuration that may be out of date`,
-        NO_CONFIGURATION_RETRY_MS,
+        CONFIGURATION_RETRY_AFTER_MS,
       )
       : new Refusal(code, "not-run", message);
   }
 
-  #noteDemand(
+  #recordDemand(
     { engine }: RelayedRequest["service"],
-    { model: name, promptTokens, outputTokens, outputHint }: RequestFacts,
+    { model: name, promptTokens, outputTokens, outputTokensHint }:
+      RequestMetadata,
   ): void {
     const model = engine?.models.find((model) => model.name === name);
     if (engine !== undefined && model !== undefined) {
-      const tokens = outputHint ?? outputTokens;
-      this.#demand.note(engine, model, promptTokens, tokens);
+      const tokens = outputTokensHint ?? outputTokens;
+      this.#demand.recordRequest(engine, model, promptTokens, tokens);
     }
   }
 
-  /** Reads a body up to a limit, and no longer than the deadline. */
+  /** Reads a body up to a size limit, until the deadline at the latest. */
   async #readBody(
-    request: IncomingMessage,
+    incoming: IncomingMessage,
     limitBytes: number,
     deadlineAt: number,
   ): Promise<Buffer> {
-    const announced = Number(request.headers["content-length"] ?? 0);
-    if (announced > limitBytes) {
-      throw refuseBody(limitBytes);
+    const declaredBytes = Number(incoming.headers["content-length"] ?? 0);
+    if (declaredBytes > limitBytes) {
+      throw createTooLargeRefusal(limitBytes);
     }
-    const isBodyless = announced === 0 &&
-      request.headers["transfer-encoding"] === undefined;
+    const isBodyless = declaredBytes === 0 &&
+      incoming.headers["transfer-encoding"] === undefined;
     if (isBodyless) {
       return Buffer.alloc(0);
     }
-    let isLate = false;
+    let hasTimedOut = false;
     const cancel = this.#clock.schedule(deadlineAt - this.#clock.now(), () => {
-      isLate = true;
-      request.destroy();
+      hasTimedOut = true;
+      incoming.destroy();
     });
     const chunks: Buffer[] = [];
     let size = 0;
     try {
-      for await (const chunk of request.iterator({ destroyOnReturn: false })) {
+      for await (const chunk of incoming.iterator({ destroyOnReturn: false })) {
         size += (chunk as Buffer).length;
         if (size > limitBytes) {
-          throw refuseBody(limitBytes);
+          throw createTooLargeRefusal(limitBytes);
         }
         chunks.push(chunk as Buffer);
       }
@@ -173,14 +197,18 @@
     } finally {
       cancel();
     }
-    if (isLate) {
-      throw new Refusal("unread-request", "not-run", "the body came too late");
+    if (hasTimedOut) {
+      throw new Refusal(
+        "unread-request",
+        "not-run",
+        "the body did not arrive before the deadline",
+      );
     }
     return Buffer.concat(chunks);
   }
 }
 
-function refuseBody(limitBytes: number): Refusal {
+function createTooLargeRefusal(limitBytes: number): Refusal {
   const message = `the body is larger than ${limitBytes} bytes`;
   return new Refusal("too-large", "not-run", message);
 }
--- a/packages/relay/test/placement/holder.test.ts
+++ b/packages/relay/test/placement/holder-elector.test.ts
@@ -1,20 +1,22 @@
 import { Kernel, ManualClock, SeededRandom } from "@zinniahill/kernel";
 import { Result } from "true-myth";
 import { afterEach, describe, expect, it } from "vitest";
-import type { Seat, Standing } from "../../src/index.ts";
+import type { ElectionStatus, HolderElection } from "../../src/index.ts";
 import type { Mesh } from "../../src/peers/mesh.ts";
 import type { Peer } from "../../src/peers/peer.ts";
-import { Holder } from "../../src/placement/holder.ts";
+import { HolderElector } from "../../src/placement/holder-elector.ts";
 import type { RelayKernel, RelayServices } from "../../src/services.ts";
 
 /** A membership that deals placement to this node whenever it joins. */
-class CountedSeat implements Seat {
+class CountedSeat implements HolderElection {
   renewals = 0;
   isMember = false;
   isHolder = true;
   isAway = false;
 
-  renew(): Promise<Result<Standing, { verdict: "not-run"; message: string }>> {
+  renew(): Promise<
+    Result<ElectionStatus, { verdict: "not-run"; message: string }>
+  > {
     if (this.isAway) {
       return Promise.resolve(
         Result.err({ verdict: "not-run", message: "503" }),
@@ -95,7 +97,7 @@
     .provide("seat", [], () => seat);
   await kernel.start();
   prepare(known, peers);
-  const holder = new Holder(kernel);
+  const holder = new HolderElector(kernel);
   holder.start();
   await clock.advance(900);
   return { clock, seat, peers, known, lifecycle, holder };
@@ -114,7 +116,7 @@
   }
 
   /** The membership as one node reaches it. */
-  of(node: { isCutOff: boolean }): Seat {
+  of(node: { isCutOff: boolean }): HolderElection {
     return {
       renew: (member, _generation, termMs) => {
         if (node.isCutOff) {
@@ -171,7 +173,7 @@
         said: createPeer(false),
         isHeard: false,
         readClaim: () => ({ isHolder: false, isCandidate: false }),
-        holder: undefined as unknown as Holder,
+        holder: undefined as unknown as HolderElector,
         lifecycle: { isDraining: false },
         isCutOff: false,
       };
@@ -220,7 +222,7 @@
         )
         .provide("seat", [], () => seat.of(node));
       await kernel.start();
-      node.holder = new Holder(kernel);
+      node.holder = new HolderElector(kernel);
       const beat = () => {
         say();
         clock.schedule(465, beat);
@@ -234,7 +236,7 @@
 }
 
 describe("Holder", () => {
-  let holder: Holder | undefined;
+  let holder: HolderElector | undefined;
 
   afterEach(() => holder?.stop());
 
--- a/packages/relay/test/routing/outstanding-requests.test.ts
+++ b/packages/relay/test/routing/outstanding-requests.test.ts
@@ -22,7 +22,7 @@
     suspect: () => {
       env.suspicions++;
     },
-    clear: () => {},
+    clearSuspicion: () => {},
   };
   const mesh = {
     peerLoads: { count: () => 0, findLastEventAt: () => env.peerEventAt },
@@ -32,7 +32,7 @@
     },
   };
   const placement = {
-    check: () => {
+    checkGroup: () => {
       env.checks++;
     },
   };
