--- a/packages/relay/src/serving/attempts.ts
+++ b/packages/relay/src/serving/attempts.ts
@@ -26,7 +26,7 @@
 export interface OpenAttempt {
   readonly choice: Selection;
   readonly exchange: Exchange;
-  readonly ticket: OutstandingRequest;
+  readonly outstandingRequest: OutstandingRequest;
   readonly upstreamResponse: UpstreamResponse;
   readonly responseMetadata: ResponseMetadata;
   /** Ends the attempt and aborts the upstream's work if it is still running. */
@@ -114,7 +114,7 @@
   }
 
   /** Withdraws a retry from the budget, if one more attempt is allowed. */
-  tryTakeRetry(
+  tryWithdrawRetry(
     { service, route, sentTo, deadlineAt }: RelayedRequest,
   ): boolean {
     return sentTo.size < route.maxAttempts && this.#clock.now() < deadlineAt &&
@@ -148,7 +148,7 @@
   ): Promise<Result<OpenAttempt, AttemptFault>> {
     const { instance, group } = choice;
     const exchange = new Exchange(instance.address);
-    const ticket = this.#outstanding.begin(
+    const outstandingRequest = this.#outstanding.begin(
       instance.id,
       group,
       request.route.kind === "stream",
@@ -165,11 +165,11 @@
     const end = (reason: Error) => {
       cancelDeadline();
       request.callerSignal.removeEventListener("abort", onDisconnect);
-      ticket.end();
+      outstandingRequest.end();
       exchange.close(reason);
     };
     if (request.route.isResumable) {
-      ticket.onStall(() => {
+      outstandingRequest.onStall(() => {
         if (this.#hasOtherGroup(request, choice)) {
           exchange.close(GROUP_STALLED);
         }
@@ -209,7 +209,7 @@
     return Result.ok({
       choice,
       exchange,
-      ticket,
+      outstandingRequest,
       upstreamResponse,
       responseMetadata,
       end,
@@ -275,7 +275,7 @@
     if (request.sentTo.size === 0) {
       return undefined;
     }
-    if (isRetryable(request) && this.tryTakeRetry(request)) {
+    if (isRetryable(request) && this.tryWithdrawRetry(request)) {
       return undefined;
     }
     return createFaultRefusal(request, message);
@@ -344,7 +344,7 @@
   if (NOT_RUN_STATUSES.has(status)) {
     return createFault(
       "may-have-run",
-      `status ${status} does not say that the request was not run`,
+      `status ${status} does not guarantee that the request has not run`,
     );
   }
   const isSuccess = status >= 200 && status < 300;
--- a/packages/relay/src/serving/request-handlers.ts
+++ b/packages/relay/src/serving/request-handlers.ts
@@ -94,7 +94,7 @@
 
   async #handleOnce(request: RelayedRequest): Promise<Outcome> {
     const buffered = await this.#readBuffered(request);
-    return buffered.map((whole) => this.#writeBuffered(request, whole));
+    return buffered.map((response) => this.#writeBuffered(request, response));
   }
 
   /** Forwards a server error only if no other instance responds. */
@@ -102,8 +102,8 @@
     const first = await this.#readBuffered(request);
     const hasServerError = first.isOk &&
       first.value.upstreamResponse.status >= MIN_SERVER_ERROR_STATUS;
-    if (!hasServerError || !this.#attempts.tryTakeRetry(request)) {
-      return first.map((whole) => this.#writeBuffered(request, whole));
+    if (!hasServerError || !this.#attempts.tryWithdrawRetry(request)) {
+      return first.map((response) => this.#writeBuffered(request, response));
     }
     this.#logger.info("attempt_repeated", {
       request: request.id,
@@ -210,14 +210,14 @@
   /** Forwards all events; throws if the upstream interrupts the stream. */
   async #forwardEvents(
     { response, metadata }: RelayedRequest,
-    { upstreamResponse, ticket }: OpenAttempt,
+    { upstreamResponse, outstandingRequest }: OpenAttempt,
     progress: StreamProgress,
   ): Promise<void> {
     const splitter = new EventSplitter(
       progress.lastEventId ?? metadata.lastEventId,
     );
     for await (const chunk of upstreamResponse.body) {
-      ticket.recordEvent();
+      outstandingRequest.recordEvent();
       const block = splitter.push(chunk);
       if (block === undefined) {
         continue;
@@ -285,7 +285,7 @@
     }
     const { kind, isResumable } = request.route;
     const isSafe = kind === "idempotent" || isResumable;
-    return isSafe && this.#attempts.tryTakeRetry(request)
+    return isSafe && this.#attempts.tryWithdrawRetry(request)
       ? undefined
       : createFaultRefusal(request, message);
   }
--- a/packages/relay/test/serving/event-splitter.test.ts
+++ b/packages/relay/test/serving/event-splitter.test.ts
@@ -15,11 +15,11 @@
 ): { out: string; splitter: EventSplitter } {
   const bytes = Buffer.from(text);
   const splitter = new EventSplitter(lastId);
-  const places = [...new Set(cuts.map((cut) => cut % bytes.length))]
+  const cutPositions = [...new Set(cuts.map((cut) => cut % bytes.length))]
     .sort((a, b) => a - b);
   let out = "";
   let begin = 0;
-  for (const end of [...places, bytes.length]) {
+  for (const end of [...cutPositions, bytes.length]) {
     const block = splitter.push(bytes.subarray(begin, end));
     out += block?.bytes.toString() ?? "";
     begin = end;
