--- a/packages/relay/src/placement/controller.ts
+++ b/packages/relay/src/placement/controller.ts
@@ -203,8 +203,8 @@
   }
 
   #allocateEpoch(): number {
-    const lowestEpoch = this.#elector.fence * EPOCHS_PER_FENCE;
-    this.#highestEpoch = Math.max(this.#highestEpoch, lowestEpoch) + 1;
+    const baseEpoch = this.#elector.fence * EPOCHS_PER_FENCE;
+    this.#highestEpoch = Math.max(this.#highestEpoch, baseEpoch) + 1;
     return this.#highestEpoch;
   }
 
@@ -397,7 +397,7 @@
       engine: service.engine,
       stagingMembers: new Set(
         formation.members.filter((id) =>
-          this.#weightStager.findModel(id) !== undefined
+          this.#weightStager.findStagingModel(id) !== undefined
         ),
       ),
     };
--- a/packages/relay/src/placement/free-hosts.ts
+++ b/packages/relay/src/placement/free-hosts.ts
@@ -50,7 +50,7 @@
       fabricDomain: getFabricDomain(instance),
       modelInMemory: instance.engine!.model,
       staged: instance.engine!.staged,
-      staging: this.#weightStager.findModel(instance.id),
+      staging: this.#weightStager.findStagingModel(instance.id),
       isSlow: this.#health.isSlow(instance),
     };
   }
--- a/packages/relay/src/placement/unlisted-leads.ts
+++ b/packages/relay/src/placement/unlisted-leads.ts
@@ -17,8 +17,8 @@
 const ABSENCE_CONFIRMATION_MS = 1000;
 
 /**
- * Status of an unlisted lead: `gone`; `may-return` to the list; or `unknown`
- * until it is asked.
+ * Status of an unlisted lead: `gone`; `may-return` to the list; or `unknown`,
+ * so that it has to be asked.
  */
 export type LeadStatus = "gone" | "may-return" | "unknown";
 
@@ -56,7 +56,10 @@
     return isGone ? "gone" : "unknown";
   }
 
-  /** Orders the lead to leave, as only its link to the store may be down. */
+  /**
+   * Orders the lead to leave, as it may still serve and only be disconnected
+   * from the store.
+   */
   async release({ name, epoch }: Group, signal: AbortSignal): Promise<void> {
     const lead = readGroupLead(name);
     if (lead === undefined) {
--- a/packages/relay/src/placement/weight-stager.ts
+++ b/packages/relay/src/placement/weight-stager.ts
@@ -40,7 +40,7 @@
   }
 
   /** Finds the model that is being staged on a host. */
-  findModel(host: string): string | undefined {
+  findStagingModel(host: string): string | undefined {
     return this.#activeStagings.get(host);
   }
 
--- a/packages/relay/test/placement/holder-elector.test.ts
+++ b/packages/relay/test/placement/holder-elector.test.ts
@@ -56,7 +56,7 @@
 }
 
 /** Changes what the node knows before it starts. */
-type Preparation = (known: { nodes: number }, peers: Peer[]) => void;
+type Preparation = (knownNodes: { count: number }, peers: Peer[]) => void;
 
 async function start(
   isHeldByPeer: boolean,
@@ -69,10 +69,10 @@
   election.isHolder = isHolder;
   const peers = [createPeer(isHeldByPeer)];
   const lifecycle = { isDraining: false };
-  const knownNodes = { nodes: 2 };
+  const knownNodes = { count: 2 };
   const mesh = {
     list: () => peers,
-    countNodes: () => knownNodes.nodes,
+    countNodes: () => knownNodes.count,
     beatNow: () => {},
     reportPlacement: () => {},
   } satisfies Partial<Record<keyof Mesh, unknown>>;
@@ -283,17 +283,22 @@
     // Guards against a restart that moves placement: a node that joined at its
     // start took placement from the holder, which ended formations in progress.
     it("does not join before it has heard from the nodes that it knows", async () => {
-      const started = await startHolder(false, true, 1, (known, peers) => {
-        known.nodes = 3;
+      const started = await startHolder(false, true, 1, (knownNodes, peers) => {
+        knownNodes.count = 3;
         peers.pop();
       });
       expect(started.election.renewals).toBe(0);
     });
 
     it("joins when nodes that it knows stay silent", async () => {
-      const { clock, holder } = await startHolder(false, true, 1, (known) => {
-        known.nodes = 3;
-      });
+      const { clock, holder } = await startHolder(
+        false,
+        true,
+        1,
+        (knownNodes) => {
+          knownNodes.count = 3;
+        },
+      );
       await clock.advance(1000);
       expect(holder.isHolder).toBe(true);
     });
