--- /dev/null
+++ b/packages/relay/src/adapter.ts
@@ -0,0 +1,158 @@
+/**
+ * Interfaces that a platform adapter implements: the store, the control
+ * interface of engines, and the headers of requests and responses.
+ *
+ * @module
+ */
+import type { IncomingMessage } from "node:http";
+import type { Verdict } from "@zinniahill/schema";
+import type { Result } from "true-myth";
+import type { Configuration } from "./model/configuration.ts";
+import type { EngineReport, Instance } from "./model/instance.ts";
+import type { Order, OrderReply } from "./model/order.ts";
+import type { KeyRecord, NodeEntry } from "./model/peer-message.ts";
+
+/** The feeds of the store that nodes follow. */
+export type FeedName = "configuration" | "instances" | "nodes";
+
+/** Failure of a call that got no usable reply. */
+export interface Fault {
+  readonly verdict: Verdict;
+  readonly message: string;
+  /** Whether records from the requested offset on are no longer stored. */
+  readonly isHistoryLost?: boolean;
+}
+
+/** The latest record of each key. */
+export interface Snapshot {
+  readonly records: readonly KeyRecord[];
+  /** Offset from which newer records are read. */
+  readonly next: number;
+}
+
+/** Consecutive records that begin at an offset. */
+export interface Batch {
+  readonly records: readonly KeyRecord[];
+  readonly next: number;
+}
+
+/** Access to the feeds of the store. */
+export interface FeedStore {
+  /** Reads the latest record of each key. */
+  readNewest(
+    feed: FeedName,
+    signal: AbortSignal,
+  ): Promise<Result<Snapshot, Fault>>;
+  /** Waits up to `waitMs` for records that begin at an offset. */
+  readFrom(
+    feed: FeedName,
+    offset: number,
+    waitMs: number,
+    signal: AbortSignal,
+  ): Promise<Result<Batch, Fault>>;
+  /** Publishes the entry of this node. */
+  announceNode(
+    entry: NodeEntry,
+    signal: AbortSignal,
+  ): Promise<Result<void, Fault>>;
+}
+
+/** Status of a member after it has renewed its membership. */
+export interface ElectionStatus {
+  /** Increases with each change of the members. */
+  readonly generation: number;
+  readonly isHolder: boolean;
+}
+
+/** Election of the holder: the store chooses one of the members. */
+export interface HolderElection {
+  renew(
+    member: string,
+    generation: number,
+    termMs: number,
+    signal: AbortSignal,
+  ): Promise<Result<ElectionStatus, Fault>>;
+  leave(member: string, signal: AbortSignal): Promise<Result<void, Fault>>;
+}
+
+/** Conditions under which an engine carries out an order. */
+export interface OrderCondition {
+  readonly fence: number;
+  /** Order count of the engine on which the decision was based. */
+  readonly orderCount?: number | undefined;
+}
+
+/** Control interface of engines. */
+export interface EngineControl {
+  requestReport(
+    target: Pick<Instance, "id" | "address">,
+    timeoutMs: number,
+    signal: AbortSignal,
+  ): Promise<Result<EngineReport, Fault>>;
+  sendOrder(
+    target: Pick<Instance, "id" | "address">,
+    order: Order,
+    condition: OrderCondition,
+    timeoutMs: number,
+    signal: AbortSignal,
+  ): Promise<Result<OrderReply, Fault>>;
+}
+
+/** Decodes stored values; the error says why a value is unreadable. */
+export interface RecordDecoder {
+  configuration(value: string): Result<Configuration, string>;
+  instance(id: string, value: string): Result<Instance, string>;
+  node(value: string): Result<NodeEntry, string>;
+}
+
+/** Metadata in the headers of a caller's request. */
+export interface RequestMetadata {
+  readonly attemptId: string | undefined;
+  readonly host: string;
+  /** Path and query, as received. */
+  readonly target: string;
+  readonly apiKey: string | undefined;
+  readonly deadlineMs: number | undefined;
+  readonly model: string | undefined;
+  readonly promptTokens: number;
+  readonly outputTokens: number;
+  readonly outputTokensHint: number | undefined;
+  /** Id of the last event that the caller has from an earlier stream. */
+  readonly lastEventId: string | undefined;
+}
+
+/** Metadata that the relay adds to a forwarded request. */
+export interface ForwardMetadata {
+  readonly deadlineMs: number;
+  readonly instance: string;
+  readonly account: string | undefined;
+  /** 0 is the most urgent, 9 the least urgent. */
+  readonly priority: number | undefined;
+  readonly lastEventId: string | undefined;
+}
+
+/** Metadata in the head of an upstream's response. */
+export interface ResponseMetadata {
+  /** Whether the upstream declares that it did not run the request. */
+  readonly hasNotRun: boolean;
+  readonly attemptId: string | undefined;
+  /** Whether the response carries the upstream's signature. */
+  readonly isSigned: boolean;
+  /** Whether the body was encoded in transit. */
+  readonly isEncoded: boolean;
+  /** Instance that the upstream names as the cause of a refusal. */
+  readonly faultyInstance: string | undefined;
+  /** Running and waiting requests at the upstream, if it reports them. */
+  readonly upstreamLoad: number | undefined;
+}
+
+/** Reads and writes the headers of requests and responses. */
+export interface HeaderCodec {
+  parseRequest(request: IncomingMessage): RequestMetadata;
+  /** Returns headers for the upstream as alternating names and values. */
+  createForwardHeaders(
+    request: IncomingMessage,
+    facts: ForwardMetadata,
+  ): string[];
+  parseResponse(headers: ReadonlyMap<string, string>): ResponseMetadata;
+}
--- a/packages/relay/src/placement/controller.ts
+++ b/packages/relay/src/placement/controller.ts
@@ -14,10 +14,7 @@
 import { createGroupName, type Group, Groups } from "../hosts/groups.ts";
 import type { Feeds } from "../feeds/feeds.ts";
 import type { Instances } from "../hosts/instances.ts";
-import type {
-  EngineProfile,
-  Service as ServiceProfile,
-} from "../model/configuration.ts";
+import type { EngineProfile, ServiceProfile } from "../model/configuration.ts";
 import type { Mesh } from "../peers/mesh.ts";
 import type { RelayKernel } from "../services.ts";
 import type { Demand } from "./demand.ts";
@@ -128,7 +125,7 @@
   }
 
   start(): void {
-    this.#mesh.on("suspect", ({ group, epoch, instance }) => {
+    this.#mesh.onMessage("suspect", ({ group, epoch, instance }) => {
       this.#groups.suspect(group, epoch, `peer report about ${instance}`);
       this.checkGroup(group, epoch);
     });
@@ -218,7 +215,7 @@
       ) {
         continue;
       }
-      const size = findModel(service, group.model)?.hosts ?? 0;
+      const size = findModel(service, group.model)?.hostCount ?? 0;
       const isComplete = group.members.length === size &&
         group.members.every((member) => !this.#health.isMissing(member));
       if (group.state === "open" || group.state === "closing") {
@@ -253,7 +250,7 @@
         (signal) => this.#groupDissolver.drain(group, signal),
       );
     } else if (
-      !isComplete && this.#feeds.reachableMs("instances") >= RELISTING_MS
+      !isComplete && this.#feeds.sinceOutageMs("instances") >= RELISTING_MS
     ) {
       this.checkGroup(group.name, group.epoch);
     }
@@ -343,7 +340,7 @@
           .map(({ members }) => getFabricDomain(members[0])),
       ),
       hasNewHosts:
-        this.#clock.now() - this.#instances.grownAt < NEW_HOST_WINDOW_MS,
+        this.#clock.now() - this.#instances.lastAddedAt < NEW_HOST_WINDOW_MS,
     });
   }
 
--- a/packages/relay/src/placement/free-hosts.ts
+++ b/packages/relay/src/placement/free-hosts.ts
@@ -36,7 +36,7 @@
     const occupiedHosts = new Set(
       occupyingGroups.flatMap(({ members }) => members.map(({ id }) => id)),
     );
-    return this.#instances.listReady(service)
+    return this.#instances.listAvailable(service)
       .filter((instance) =>
         instance.engine !== undefined && !occupiedHosts.has(instance.id) &&
         !busyHosts.has(instance.id) && !this.#health.isMissing(instance)
--- a/packages/relay/src/placement/group-checker.ts
+++ b/packages/relay/src/placement/group-checker.ts
@@ -125,7 +125,7 @@
   #findGroupSize({ service, model }: Group): number | undefined {
     const { engine } = this.#configuration.current?.services
       .find(({ name }) => name === service) ?? {};
-    return engine?.models.find(({ name }) => name === model)?.hosts;
+    return engine?.models.find(({ name }) => name === model)?.hostCount;
   }
 
   /** Counts spares in the group's domain that can join without a load. */
--- a/packages/relay/src/placement/group-former.ts
+++ b/packages/relay/src/placement/group-former.ts
@@ -166,7 +166,7 @@
       );
       const timeoutMs = isLoading || group.stagingMembers.has(id)
         ? model.loadMs * LOAD_TIMEOUT_FACTOR
-        : model.warmMs + JOIN_TIMEOUT_MS;
+        : model.stagedLoadMs + JOIN_TIMEOUT_MS;
       await this.#waitFor(timeoutMs, () => this.#isReady(group, id), signal);
     } finally {
       release();
--- a/packages/relay/src/placement/holder-elector.ts
+++ b/packages/relay/src/placement/holder-elector.ts
@@ -11,10 +11,10 @@
   TaskGroup,
 } from "@zinniahill/kernel";
 import { createMachine, interpret, state, transition } from "robot3";
-import type { Intake } from "../entry/intake.ts";
+import type { CapacityMonitor } from "../entry/capacity-monitor.ts";
 import type { Feeds } from "../feeds/feeds.ts";
 import type { Lifecycle } from "../lifecycle.ts";
-import type { Seat, Standing } from "../outside.ts";
+import type { ElectionStatus, HolderElection } from "../adapter.ts";
 import type { Mesh } from "../peers/mesh.ts";
 import type { Peer } from "../peers/peer.ts";
 import type { RelayKernel } from "../services.ts";
@@ -62,11 +62,11 @@
   #random: Random;
   #logger: Logger;
   #feeds: Feeds;
-  #election: Seat;
+  #election: HolderElection;
   #memberId: string;
   #lifecycle: Lifecycle;
   #mesh: Mesh;
-  #intake: Intake;
+  #intake: CapacityMonitor;
   #isMember = false;
   /** Whether this node may become holder; false while the store is silent. */
   #isCandidate = false;
@@ -93,10 +93,10 @@
     this.#holderSeenAt = this.#startedAt;
     this.#feeds = kernel.find("feeds");
     // Orders are based on what this node has read, so it must be recent.
-    this.#feeds.hurryWhile(() => this.isHolder);
-    this.#mesh.reportPlacement(() => ({
-      holds: this.isHolder,
-      seeks: this.#isCandidate,
+    this.#feeds.readAtFullRateWhile(() => this.isHolder);
+    this.#mesh.setPlacementSource(() => ({
+      isHolder: this.isHolder,
+      isCandidate: this.#isCandidate,
     }));
     // A restarted process must not continue the membership of its predecessor.
     this.#memberId = `${
@@ -235,7 +235,7 @@
       this.#isMember = true;
       this.#isCandidate = true;
       this.#joinAt = undefined;
-      this.#mesh.beatNow();
+      this.#mesh.broadcastHeartbeat();
     }
   }
 
@@ -254,7 +254,10 @@
   }
 
   /** The term starts when the renewal is sent, not when it is answered. */
-  #applyRenewal({ generation, isHolder }: Standing, sentAt: number): void {
+  #applyRenewal(
+    { generation, isHolder }: ElectionStatus,
+    sentAt: number,
+  ): void {
     if (generation !== this.#generation) {
       this.#logger.info("membership_changed", {
         generation,
@@ -274,7 +277,7 @@
     if (!wasHolder) {
       this.#heldSince = this.#clock.now();
       this.#logger.info("placement_held", { fence: generation });
-      this.#mesh.beatNow();
+      this.#mesh.broadcastHeartbeat();
     }
   }
 
@@ -291,7 +294,7 @@
       this.#machine.send("lose");
       this.#heldUntil = -Infinity;
       this.#logger.info("placement_lost", { fence: this.#generation, reason });
-      this.#mesh.beatNow();
+      this.#mesh.broadcastHeartbeat();
     }
   }
 }
--- a/packages/relay/src/placement/lead-release.ts
+++ b/packages/relay/src/placement/lead-release.ts
@@ -15,10 +15,10 @@
   TaskGroup,
   withDeadline,
 } from "@zinniahill/kernel";
-import { createGroupKey, type Target } from "../hosts/groups.ts";
+import { createGroupKey, type InstanceEndpoint } from "../hosts/groups.ts";
 import type { OrderReply } from "../model/order.ts";
-import type { LeadAttempt, MessageOf } from "../model/peer-message.ts";
-import type { Engines } from "../outside.ts";
+import type { LeadReleaseOutcome, MessageOf } from "../model/peer-message.ts";
+import type { EngineControl } from "../adapter.ts";
 import type { Mesh } from "../peers/mesh.ts";
 import type { RelayKernel } from "../services.ts";
 import { isMemberOf } from "./order-sender.ts";
@@ -38,14 +38,14 @@
 interface PendingRelease {
   /** Names of the nodes that try to reach the lead, including this one. */
   readonly askedNodes: ReadonlySet<string>;
-  readonly attempts: Map<string, LeadAttempt>;
+  readonly attempts: Map<string, LeadReleaseOutcome>;
 }
 
 /** Orders unlisted leads to leave, for this node and for the holder. */
 export class LeadRelease implements Service {
   #clock: Clock;
   #logger: Logger;
-  #engines: Engines;
+  #engines: EngineControl;
   #mesh: Mesh;
   #tasks: TaskGroup;
   #pendingReleases = new Map<string, PendingRelease>();
@@ -57,7 +57,7 @@
     this.#engines = kernel.find("engines");
     this.#mesh = kernel.find("mesh");
     this.#tasks = new TaskGroup(this.#clock, this.#logger);
-    this.#mesh.on("release", (message, sender) => {
+    this.#mesh.onMessage("release", (message, sender) => {
       this.#tasks.run("release_for_peer", async (signal) => {
         const outcome = await this.#attemptRelease(message, signal);
         const { lead, address, group, epoch } = message;
@@ -71,7 +71,7 @@
         });
       });
     });
-    this.#mesh.on("released", ({ group, epoch, outcome }, sender) => {
+    this.#mesh.onMessage("released", ({ group, epoch, outcome }, sender) => {
       this.#recordAttempt(createGroupKey(group, epoch), sender.name, outcome);
     });
   }
@@ -82,14 +82,14 @@
 
   /** Asks every node to order the lead to leave, and combines the outcomes. */
   async release(
-    { id, address }: Target,
+    { id, address }: InstanceEndpoint,
     group: string,
     epoch: number,
     fence: number,
     signal: AbortSignal,
   ): Promise<LeadPresence> {
     const key = createGroupKey(group, epoch);
-    const ownName = this.#mesh.own.name;
+    const ownName = this.#mesh.ownEntry.name;
     const peers = this.#mesh.list().map(({ entry }) => entry.name);
     const release: PendingRelease = {
       askedNodes: new Set([ownName, ...peers]),
@@ -144,7 +144,7 @@
     }));
   }
 
-  #recordAttempt(key: string, node: string, outcome: LeadAttempt): void {
+  #recordAttempt(key: string, node: string, outcome: LeadReleaseOutcome): void {
     this.#pendingReleases.get(key)?.attempts.set(node, outcome);
     this.#changed.notify();
   }
@@ -156,11 +156,11 @@
   async #attemptRelease(
     { lead, address, group, epoch, fence }: MessageOf<"release">,
     signal: AbortSignal,
-  ): Promise<LeadAttempt> {
+  ): Promise<LeadReleaseOutcome> {
     const target = { id: lead, address };
-    let outcome: LeadAttempt = "unreachable";
+    let outcome: LeadReleaseOutcome = "unreachable";
     for (let attempt = 1; attempt <= MAX_ATTEMPTS; attempt++) {
-      const reply = await this.#engines.order(
+      const reply = await this.#engines.sendOrder(
         target,
         { kind: "leave", group, epoch },
         { fence },
@@ -171,7 +171,7 @@
       if (reply.isOk && HAS_LEFT_BY_REPLY[reply.value]) {
         return "left";
       }
-      const report = await this.#engines.report(
+      const report = await this.#engines.requestReport(
         target,
         ATTEMPT_TIMEOUT_MS,
         signal,
--- a/packages/relay/src/placement/order-sender.ts
+++ b/packages/relay/src/placement/order-sender.ts
@@ -5,9 +5,9 @@
  */
 import type { Clock, Logger } from "@zinniahill/kernel";
 import type { Instances } from "../hosts/instances.ts";
-import type { Instance, Membership, Report } from "../model/instance.ts";
+import type { EngineReport, Instance, Membership } from "../model/instance.ts";
 import type { Order, OrderReply } from "../model/order.ts";
-import type { Engines } from "../outside.ts";
+import type { EngineControl } from "../adapter.ts";
 import type { RelayMetrics } from "../relay-metrics.ts";
 import type { RelayKernel } from "../services.ts";
 import type { HolderElector } from "./holder-elector.ts";
@@ -26,7 +26,7 @@
 export class OrderSender {
   #clock: Clock;
   #logger: Logger;
-  #engines: Engines;
+  #engines: EngineControl;
   #elector: HolderElector;
   #instances: Instances;
   #metrics: RelayMetrics;
@@ -44,9 +44,9 @@
   async requestReport(
     instance: Instance,
     signal: AbortSignal,
-  ): Promise<Report | undefined> {
+  ): Promise<EngineReport | undefined> {
     for (let attempt = 1; attempt <= MAX_ATTEMPTS - 1; attempt++) {
-      const report = await this.#engines.report(
+      const report = await this.#engines.requestReport(
         instance,
         REPLY_TIMEOUT_MS,
         signal,
@@ -73,7 +73,7 @@
   async send(
     id: string,
     order: Order,
-    isDone: (report: Report) => boolean,
+    isDone: (report: EngineReport) => boolean,
     signal: AbortSignal,
   ): Promise<void> {
     let orderCount: number | undefined;
@@ -119,7 +119,7 @@
       throw new PlacementError("this node no longer holds placement");
     }
     const { fence } = this.#elector;
-    const reply = await this.#engines.order(
+    const reply = await this.#engines.sendOrder(
       this.#findInstance(id),
       order,
       { fence, orderCount },
@@ -128,7 +128,7 @@
     );
     signal.throwIfAborted();
     const outcome = reply.isOk ? reply.value : "no-reply";
-    this.#metrics.noteOrder(order.kind, outcome);
+    this.#metrics.recordOrder(order.kind, outcome);
     this.#logger.info("order_given", {
       instance: id,
       order: order.kind,
@@ -144,7 +144,10 @@
 }
 
 /** Whether a report comes from the process that the store lists. */
-export function isSameProcess(instance: Instance, report: Report): boolean {
+export function isSameProcess(
+  instance: Instance,
+  report: EngineReport,
+): boolean {
   return report.bornAt === undefined || report.bornAt === instance.bornAt;
 }
 
--- a/packages/relay/src/placement/plan.ts
+++ b/packages/relay/src/placement/plan.ts
@@ -130,7 +130,7 @@
     .sort((a, b) => b.workPerGroup - a.workPerGroup);
   const isUnsettled = input.unsettledDomains.has(hosts[0]?.fabricDomain ?? "");
   const eligible = candidates.filter(({ model, formation }) =>
-    formation.members.length === model.hosts &&
+    formation.members.length === model.hostCount &&
     (!isUnsettled || formation.membersToLoad.size === 0) &&
     (isRepair(model, formation, hosts) ||
       formation.remainingSpares >= MIN_SPARES_AFTER_NEW_GROUP)
@@ -154,7 +154,7 @@
  * most half must load weights.
  */
 function isRepair(
-  { name, hosts: size }: ModelProfile,
+  { name, hostCount: size }: ModelProfile,
   { members, membersToLoad }: Candidate,
   hosts: readonly FreeHost[],
 ): boolean {
@@ -175,7 +175,7 @@
   const hostsWithoutLoad = hosts.filter((host) =>
     getJoinCost(host, model.name) <= JoinCost.staging
   );
-  return hostsWithoutLoad.length >= model.hosts - 1;
+  return hostsWithoutLoad.length >= model.hostCount - 1;
 }
 
 /** Work for each group of a model if one more group is formed. */
@@ -200,7 +200,7 @@
       Number(a.isSlow) - Number(b.isSlow) ||
       getJoinCost(a, model.name) - getJoinCost(b, model.name)
     )
-    .slice(0, model.hosts);
+    .slice(0, model.hostCount);
   const hostsToLoad = chosen.filter((host) =>
     getJoinCost(host, model.name) > JoinCost.staging
   );
@@ -259,7 +259,7 @@
 ): Staging[] {
   const wantedModels = engine.models
     .filter(({ name }) => groupModels.includes(name))
-    .sort((a, b) => b.hosts - a.hosts)
+    .sort((a, b) => b.hostCount - a.hostCount)
     .map(({ name }) => name);
   const unusedSpares = new Set(spares);
   const stagings: Staging[] = [];
--- a/packages/relay/src/placement/weight-load-limiter.ts
+++ b/packages/relay/src/placement/weight-load-limiter.ts
@@ -118,11 +118,12 @@
     };
   }
 
-  #computeDelayMs({ loadsPerSecond }: EngineProfile): number {
+  #computeDelayMs({ maxLoadsPerSecond }: EngineProfile): number {
     if (!this.#isRateLimited()) {
       return 0;
     }
-    const intervalMs = MS_PER_SECOND / (loadsPerSecond * RATE_LIMIT_FRACTION);
+    const intervalMs = MS_PER_SECOND /
+      (maxLoadsPerSecond * RATE_LIMIT_FRACTION);
     return this.#lastStartedAt + intervalMs - this.#clock.now();
   }
 }
--- a/packages/relay/src/services.ts
+++ b/packages/relay/src/services.ts
@@ -5,7 +5,7 @@
  */
 import type { PeerTransport } from "@zinniahill/clients";
 import type { Clock, Kernel, Logger, Random } from "@zinniahill/kernel";
-import type { Intake } from "./entry/intake.ts";
+import type { CapacityMonitor } from "./entry/capacity-monitor.ts";
 import type { Lookup } from "./entry/lookup.ts";
 import type { Readiness } from "./entry/readiness.ts";
 import type { Feeds } from "./feeds/feeds.ts";
@@ -14,13 +14,13 @@
 import type { Instances } from "./hosts/instances.ts";
 import type { Lifecycle } from "./lifecycle.ts";
 import type {
-  Engines,
+  EngineControl,
+  FeedStore,
+  HeaderCodec,
+  HolderElection,
   RecordDecoder,
-  RequestFormat,
-  Seat,
-  Topics,
-} from "./outside.ts";
-import type { InstanceNews } from "./peers/instance-news.ts";
+} from "./adapter.ts";
+import type { InstanceUpdates } from "./peers/instance-updates.ts";
 import type { Mesh } from "./peers/mesh.ts";
 import type { PlacementController } from "./placement/controller.ts";
 import type { Demand } from "./placement/demand.ts";
@@ -30,22 +30,22 @@
 import type { RelaySettings } from "./relay-settings.ts";
 import type { CurrentConfiguration } from "./routing/current-configuration.ts";
 import type { Dispatcher } from "./routing/dispatcher.ts";
-import type { Outstanding } from "./routing/outstanding.ts";
-import type { Answers } from "./serving/answers.ts";
+import type { OutstandingRequests } from "./routing/outstanding-requests.ts";
+import type { RequestHandlers } from "./serving/request-handlers.ts";
 import type { Attempts } from "./serving/attempts.ts";
-import type { Front } from "./serving/front.ts";
+import type { PublicServer } from "./serving/public-server.ts";
 
-/** What an adapter provides. */
-export interface OutsideServices {
-  topics: Topics;
-  seat: Seat;
-  engines: Engines;
+/** Services that an adapter provides. */
+export interface AdapterServices {
+  topics: FeedStore;
+  seat: HolderElection;
+  engines: EngineControl;
   decoder: RecordDecoder;
-  format: RequestFormat;
+  format: HeaderCodec;
 }
 
 /** Service types by name. */
-export interface RelayServices extends OutsideServices {
+export interface RelayServices extends AdapterServices {
   clock: Clock;
   random: Random;
   logger: Logger;
@@ -60,18 +60,18 @@
   groups: Groups;
   mesh: Mesh;
   holder: HolderElector;
-  instanceNews: InstanceNews;
+  instanceNews: InstanceUpdates;
   demand: Demand;
   leadRelease: LeadRelease;
   placement: PlacementController;
-  outstanding: Outstanding;
+  outstanding: OutstandingRequests;
   dispatcher: Dispatcher;
   attempts: Attempts;
-  answers: Answers;
-  intake: Intake;
+  answers: RequestHandlers;
+  intake: CapacityMonitor;
   lookup: Lookup;
   readiness: Readiness;
-  front: Front;
+  front: PublicServer;
 }
 
 /** The kernel of a relay node. */
--- a/packages/relay/test/placement/holder-elector.test.ts
+++ b/packages/relay/test/placement/holder-elector.test.ts
@@ -1,20 +1,22 @@
 import { Kernel, ManualClock, SeededRandom } from "@zinniahill/kernel";
 import { Result } from "true-myth";
 import { afterEach, describe, expect, it } from "vitest";
-import type { Seat, Standing } from "../../src/index.ts";
+import type { ElectionStatus, HolderElection } from "../../src/index.ts";
 import type { Mesh } from "../../src/peers/mesh.ts";
 import type { Peer } from "../../src/peers/peer.ts";
 import { HolderElector } from "../../src/placement/holder-elector.ts";
 import type { RelayKernel, RelayServices } from "../../src/services.ts";
 
 /** An election that makes this node the holder as soon as it joins. */
-class FakeElection implements Seat {
+class FakeElection implements HolderElection {
   renewals = 0;
   isMember = false;
   isHolder = true;
   isUnavailable = false;
 
-  renew(): Promise<Result<Standing, { verdict: "not-run"; message: string }>> {
+  renew(): Promise<
+    Result<ElectionStatus, { verdict: "not-run"; message: string }>
+  > {
     if (this.isUnavailable) {
       return Promise.resolve(
         Result.err({ verdict: "not-run", message: "503" }),
@@ -73,8 +75,8 @@
   const mesh = {
     list: () => peers,
     countNodes: () => knownNodes.count,
-    beatNow: () => {},
-    reportPlacement: () => {},
+    broadcastHeartbeat: () => {},
+    setPlacementSource: () => {},
   } satisfies Partial<Record<keyof Mesh, unknown>>;
   const nullLogger = { error() {}, warn() {}, info() {}, debug() {} };
   const kernel: RelayKernel = new Kernel<RelayServices>();
@@ -89,7 +91,8 @@
     .provide(
       "feeds",
       [],
-      () => ({ hurryWhile: () => {}, isReachable: () => true }) as never,
+      () =>
+        ({ readAtFullRateWhile: () => {}, isReachable: () => true }) as never,
     )
     .provide("seat", [], () => election);
   await kernel.start();
@@ -113,7 +116,7 @@
   }
 
   /** The election as one node reaches it. */
-  connect(node: { isDisconnected: boolean }): Seat {
+  connect(node: { isDisconnected: boolean }): HolderElection {
     return {
       renew: (member, _generation, termMs) => {
         if (node.isDisconnected) {
@@ -169,14 +172,14 @@
       const node = {
         peer: createPeer(false),
         hasSentBeat: false,
-        readRole: () => ({ holds: false, seeks: false }),
+        readRole: () => ({ isHolder: false, isCandidate: false }),
         holder: undefined as unknown as HolderElector,
         lifecycle: { isDraining: false },
         isDisconnected: false,
       };
       const sendBeat = () => {
-        const { holds, seeks } = node.readRole();
-        const peer = createPeer(holds, 1, { seeksPlacement: seeks });
+        const { isHolder, isCandidate } = node.readRole();
+        const peer = createPeer(isHolder, 1, { seeksPlacement: isCandidate });
         clock.schedule(1, () => {
           node.peer = peer;
           node.hasSentBeat = true;
@@ -187,8 +190,8 @@
           nodes.filter((other) => other !== node && other.hasSentBeat)
             .map(({ peer }) => peer),
         countNodes: () => count,
-        beatNow: sendBeat,
-        reportPlacement: (source: typeof node.readRole) => {
+        broadcastHeartbeat: sendBeat,
+        setPlacementSource: (source: typeof node.readRole) => {
           node.readRole = source;
         },
       };
@@ -209,7 +212,11 @@
         .provide(
           "feeds",
           [],
-          () => ({ hurryWhile: () => {}, isReachable: () => true }) as never,
+          () =>
+            ({
+              readAtFullRateWhile: () => {},
+              isReachable: () => true,
+            }) as never,
         )
         .provide("seat", [], () => election.connect(node));
       await kernel.start();
--- a/packages/relay/test/placement/plan.test.ts
+++ b/packages/relay/test/placement/plan.test.ts
@@ -76,8 +76,10 @@
       fc.assert(fc.property(arbitraryHosts, (free) => {
         const { formations } = createPlan(createInput(free));
         for (const { model, members } of formations) {
-          const { hosts } = ENGINE.models.find(({ name }) => name === model)!;
-          expect(members).toHaveLength(hosts);
+          const { hostCount } = ENGINE.models.find(({ name }) =>
+            name === model
+          )!;
+          expect(members).toHaveLength(hostCount);
         }
       }));
     });
--- a/packages/relay/test/placement/unlisted-leads.test.ts
+++ b/packages/relay/test/placement/unlisted-leads.test.ts
@@ -23,7 +23,7 @@
   const clock = new ManualClock();
   const fixture = {
     clock,
-    reachableMs: 60_000,
+    sinceOutageMs: 60_000,
     isListed: false,
     outcome: "absent" as LeadPresence,
   };
@@ -34,7 +34,7 @@
     .provide(
       "feeds",
       [],
-      () => ({ reachableMs: () => fixture.reachableMs }) as never,
+      () => ({ sinceOutageMs: () => fixture.sinceOutageMs }) as never,
     )
     .provide(
       "instances",
@@ -55,7 +55,7 @@
   describe("without a release", () => {
     it("does not decide soon after an outage, when entries may still return", async () => {
       const { fixture, leads } = await createUnlistedLeads();
-      fixture.reachableMs = 2000;
+      fixture.sinceOutageMs = 2000;
       expect(leads.getStatus(GROUP)).toBe("may-return");
     });
 
--- a/packages/relay/test/placement/weight-load-limiter.test.ts
+++ b/packages/relay/test/placement/weight-load-limiter.test.ts
@@ -12,7 +12,11 @@
 ): Promise<number> {
   let granted = 0;
   for (let load = 0; load < 100; load++) {
-    void limiter.acquire({ ...ENGINE, concurrentLoads: 100 }, 0, NEVER_ABORTED)
+    void limiter.acquire(
+      { ...ENGINE, concurrentLoads: 100 },
+      0,
+      NEVER_ABORTED,
+    )
       .then(() => granted++);
   }
   await clock.advance(ms);
@@ -87,7 +91,7 @@
       const clock = new ManualClock();
       const limiter = new WeightLoadLimiter(clock, () => true);
       const granted = await countGranted(limiter, clock, 5000);
-      expect(granted).toBeLessThanOrEqual(ENGINE.loadsPerSecond * 5);
+      expect(granted).toBeLessThanOrEqual(ENGINE.maxLoadsPerSecond * 5);
       expect(granted).toBeGreaterThan(10);
     });
 
