--- a/packages/relay/src/placement/holder-elector.ts
+++ b/packages/relay/src/placement/holder-elector.ts
@@ -1,5 +1,6 @@
 /**
- * Elects the holder of placement, the one node that gives orders.
+ * Elects the holder of placement, the one node that gives orders, by membership
+ * at the store.
  *
  * @module
  */
--- a/packages/relay/src/placement/weight-load-limiter.ts
+++ b/packages/relay/src/placement/weight-load-limiter.ts
@@ -9,9 +9,9 @@
 /** Fraction of the permitted rate to use, as another node may load, too. */
 const RATE_LIMIT_FRACTION = 0.8;
 /**
- * Factor on the number of concurrent loads before callers are served. Each load
- * then takes longer, but the weight store is never idle between the end of a
- * load and the report of it, which is about 0.2 s late.
+ * Factor on the number of loads that run at full speed, applied before callers
+ * are served. Each load then takes longer, but the weight store is never idle
+ * between the end of a load and the report of it, which is about 0.2 s late.
  */
 const STARTUP_CONCURRENCY_FACTOR = 2;
 const MS_PER_SECOND = 1000;
--- a/packages/relay/test/placement/holder-elector.test.ts
+++ b/packages/relay/test/placement/holder-elector.test.ts
@@ -162,7 +162,10 @@
   }
 }
 
-/** Starts nodes that receive each other's heartbeats after 1 ms. */
+/**
+ * Starts nodes that receive each other's heartbeats, periodic and immediate
+ * ones, after 1 ms.
+ */
 async function startNodes(count: number) {
   const clock = new ManualClock();
   const random = new SeededRandom(5);
