--- a/packages/relay/src/feeds/feeds.ts
+++ b/packages/relay/src/feeds/feeds.ts
@@ -1,5 +1,5 @@
 /**
- * Follows the topics of the store, one task for each.
+ * Reads the topics of the store continuously, with one task for each.
  *
  * @module
  */
@@ -16,103 +16,103 @@
 import type { RelayKernel } from "../services.ts";
 import { RecordTable } from "./record-table.ts";
 
-/** Called with records that are newer than those known before. */
+/** Called with the records that changed a feed. */
 export type FeedListener = (records: readonly KeyRecord[]) => void;
 
-/** How a topic is followed. */
-interface FollowPlan {
-  /** How long the store may hold a read open. */
+/** How often a topic is read. */
+interface ReadSchedule {
+  /** How long the store may hold a read open until a record arrives. */
   readonly waitMs: number;
-  /** Pause after records came, so that the next read collects several. */
-  readonly collectMs: number;
-  /** What each node beyond a few adds to both. */
+  /** Delay after a read with records, so that the next one returns several. */
+  readonly batchDelayMs: number;
+  /** Added to both for each node above `FULL_RATE_NODES`. */
   readonly perNode: {
-    /** Peers notice in the read's place what a silent connection hides. */
+    /** Peers supply the records that a silent connection hides meanwhile. */
     readonly waitMs: number;
-    /** Keeps all nodes together at about 50 reads a second. */
-    readonly collectMs: number;
+    /** Limits all nodes together to about 50 reads a second. */
+    readonly batchDelayMs: number;
   };
 }
 
 /**
- * A read held open for longer hides a connection that went silent; a shorter
- * one costs calls. Changes must be in force within 2 s of their confirmation.
+ * A longer wait hides a silent connection for longer; a shorter one takes more
+ * calls. Changes must be in force within 2 s of their confirmation.
  */
-const PLANS: Readonly<Record<FeedName, FollowPlan>> = {
+const READ_SCHEDULES: Readonly<Record<FeedName, ReadSchedule>> = {
   configuration: {
     waitMs: 1200,
-    collectMs: 20,
-    perNode: { waitMs: 45, collectMs: 0 },
+    batchDelayMs: 20,
+    perNode: { waitMs: 45, batchDelayMs: 0 },
   },
   instances: {
     waitMs: 1200,
-    collectMs: 60,
-    perNode: { waitMs: 0, collectMs: 20 },
+    batchDelayMs: 60,
+    perNode: { waitMs: 0, batchDelayMs: 20 },
   },
   nodes: {
     waitMs: 5000,
-    collectMs: 200,
-    perNode: { waitMs: 0, collectMs: 0 },
+    batchDelayMs: 200,
+    perNode: { waitMs: 0, batchDelayMs: 0 },
   },
 };
-/** As many nodes as this may each read at the full pace. */
-const FEW_NODES = 4;
-const FEEDS = Object.keys(PLANS) as FeedName[];
-const RETRY_MS = 150;
-const MAX_RETRY_MS = 700;
-/** A node that the store turns away hears from its peers meanwhile. */
-const MAX_RETRY_MS_PER_NODE = 45;
-/** A node that hears the news of a feed reads the store this seldom. */
-const FED_READ_MS = 3000;
-/** Without news for this long, a node reads at its own pace again. */
-const FED_VALID_MS = 1000;
+/** Up to this number of nodes, each reads at the full rate. */
+const FULL_RATE_NODES = 4;
+const FEEDS = Object.keys(READ_SCHEDULES) as FeedName[];
+const RETRY_DELAY_MS = 150;
+const MAX_RETRY_DELAY_MS = 700;
+/** A node whose reads fail receives records from its peers meanwhile. */
+const MAX_RETRY_DELAY_MS_PER_NODE = 45;
+/** The longest time between reads while a peer sends the updates of a feed. */
+const MAX_READ_DELAY_MS = 3000;
+/** Without an update for this long, a node reads at its own rate again. */
+const UPDATE_VALIDITY_MS = 1000;
 /** A feed without a successful read for this long is out of date. */
 const STALE_AFTER_MS = 3000;
 /**
  * Reads that fail for this long are an outage. It is shorter than the interval
- * at which engines renew their entries, so less lets no entry lapse.
+ * at which engines renew their entries, so a shorter failure lets none expire.
  */
-const OUTAGE_MS = 1000;
+const MIN_OUTAGE_MS = 1000;
 
-/** Where one feed stands. */
-interface Progress {
+/** The state of one feed. */
+interface FeedState {
   readonly table: RecordTable;
   readonly listeners: Set<FeedListener>;
   isLoaded: boolean;
-  /** When all records up to then are known to have been read. */
-  currentAt: number;
+  /** The time up to which all records are known to have been read. */
+  upToDateAt: number;
   isReachable: boolean;
   /**
-   * When the first of the reads began that failed without a successful one
-   * since; undefined after a success.
+   * When the first failed read since the last successful one began; undefined
+   * after a success.
    */
   failingSince: number | undefined;
-  /** When news last came from the node that reads most often. */
-  fedAt: number;
+  /** When the node that reads most often last sent an update. */
+  updatedAt: number;
   /** When the last outage of the store ended. */
   outageEndedAt: number;
 }
 
-/** Keeps a table of the newest records of each topic. */
+/** Keeps the newest records of each topic. */
 export class Feeds implements Service {
   #clock: Clock;
   #logger: Logger;
   #random: Random;
-  #topics: FeedStore;
+  #store: FeedStore;
   #tasks: TaskGroup;
-  #feeds: Record<FeedName, Progress>;
-  #isHurried = () => false;
+  #feeds: Record<FeedName, FeedState>;
+  #isAtFullRate = () => false;
 
   constructor(kernel: RelayKernel) {
     this.#clock = kernel.find("clock");
     this.#logger = kernel.find("logger");
     this.#random = kernel.find("random");
-    this.#topics = kernel.find("topics");
+    this.#store = kernel.find("topics");
     this.#tasks = new TaskGroup(this.#clock, this.#logger);
     this.#feeds = {
-      configuration: createProgress(),
-      instances: createProgress(),
-      nodes: createProgress(),
+      configuration: createState(),
+      instances: createState(),
+      nodes: createState(),
     };
   }
 
@@ -126,22 +126,22 @@
     return this.#tasks.stop();
   }
 
-  /** Calls a listener for each change from now on. */
+  /** Calls a listener after each change from now on. */
   onChange(feed: FeedName, listener: FeedListener): void {
     this.#feeds[feed].listeners.add(listener);
   }
 
-  /** Sets when this node reads at the pace of few nodes all the same. */
-  readAtFullRateWhile(isHurried: () => boolean): void {
-    this.#isHurried = isHurried;
+  /** Sets when this node reads at the full rate whatever the number of nodes. */
+  readAtFullRateWhile(isRequired: () => boolean): void {
+    this.#isAtFullRate = isRequired;
   }
 
-  /** The pause between two reads that bring records. */
+  /** The delay between two reads that return records. */
   batchDelayMs(feed: FeedName): number {
-    const { collectMs, perNode } = PLANS[feed];
-    return this.#isHurried()
-      ? collectMs
-      : collectMs + perNode.collectMs * this.#countFurtherNodes();
+    const { batchDelayMs, perNode } = READ_SCHEDULES[feed];
+    return this.#isAtFullRate()
+      ? batchDelayMs
+      : batchDelayMs + perNode.batchDelayMs * this.#countExtraNodes();
   }
 
   /** The newest records of a feed. */
@@ -164,31 +164,31 @@
     this.#apply(feed, (table) => table.apply(records, next));
   }
 
-  /** Applies everything that is new up to `next`, as it was just read. */
+  /** Applies a peer's update: all changes up to `next`, which it just read. */
   applyUpdate(
     feed: FeedName,
     records: readonly KeyRecord[],
     next: number,
   ): void {
-    const progress = this.#feeds[feed];
-    progress.fedAt = this.#clock.now();
-    progress.currentAt = progress.fedAt;
+    const state = this.#feeds[feed];
+    state.updatedAt = this.#clock.now();
+    state.upToDateAt = state.updatedAt;
     this.#apply(feed, (table) => table.apply(records, next));
   }
 
-  /** Notes that a peer knew nothing newer `ageMs` ago. */
+  /** Records that a peer knew of no newer record `ageMs` ago. */
   markUpToDate(feed: FeedName, ageMs: number): void {
-    const progress = this.#feeds[feed];
-    const currentAt = this.#clock.now() - ageMs;
-    progress.currentAt = Math.max(progress.currentAt, currentAt);
+    const state = this.#feeds[feed];
+    const upToDateAt = this.#clock.now() - ageMs;
+    state.upToDateAt = Math.max(state.upToDateAt, upToDateAt);
   }
 
-  /** How long ago the feed was known to be complete. */
+  /** Time since the feed was known to be complete. */
   ageMs(feed: FeedName): number {
-    return this.#clock.now() - this.#feeds[feed].currentAt;
+    return this.#clock.now() - this.#feeds[feed].upToDateAt;
   }
 
-  /** Whether newer records may have been missed for some time. */
+  /** Whether the feed has not been known to be complete for too long. */
   isStale(feed: FeedName): boolean {
     return this.ageMs(feed) > STALE_AFTER_MS;
   }
@@ -198,12 +198,12 @@
     return this.#feeds[feed].isReachable;
   }
 
-  /** Time since the last outage of the store; zero during one. */
+  /** Time since the last outage of the store; zero during an outage. */
   sinceOutageMs(feed: FeedName): number {
     const { failingSince, outageEndedAt } = this.#feeds[feed];
     const now = this.#clock.now();
     const isOutage = failingSince !== undefined &&
-      now - failingSince >= OUTAGE_MS;
+      now - failingSince >= MIN_OUTAGE_MS;
     return isOutage ? 0 : now - outageEndedAt;
   }
 
@@ -216,49 +216,49 @@
     }]));
   }
 
-  /** Announced nodes beyond a few; some of them may be away. */
-  #countFurtherNodes(): number {
-    return Math.max(0, this.#feeds.nodes.table.list().length - FEW_NODES);
+  /** Announced nodes above `FULL_RATE_NODES`; some may be offline. */
+  #countExtraNodes(): number {
+    return Math.max(0, this.#feeds.nodes.table.list().length - FULL_RATE_NODES);
   }
 
   #waitMs(feed: FeedName): number {
-    const { waitMs, perNode } = PLANS[feed];
-    return waitMs + perNode.waitMs * this.#countFurtherNodes();
+    const { waitMs, perNode } = READ_SCHEDULES[feed];
+    return waitMs + perNode.waitMs * this.#countExtraNodes();
   }
 
   async #follow(feed: FeedName, signal: AbortSignal): Promise<void> {
     let failures = 0;
     while (!signal.aborted) {
-      const began = this.#clock.now();
+      const startedAt = this.#clock.now();
       const read = await this.#read(feed, signal);
       if (signal.aborted) {
         return;
       }
       if (read.isErr) {
         failures++;
-        this.#noteFailure(feed, began, read.error.message);
-        await this.#clock.sleep(this.#drawRetryMs(failures), signal);
+        this.#noteFailure(feed, startedAt, read.error.message);
+        await this.#clock.sleep(this.#drawRetryDelayMs(failures), signal);
         continue;
       }
       failures = 0;
-      this.#noteSuccess(feed, began);
+      this.#noteSuccess(feed, startedAt);
       if (read.value > 0) {
-        await this.#pause(feed, signal);
+        await this.#delayNextRead(feed, signal);
       }
     }
   }
 
-  /** Lets records collect, for longer as long as a peer sends what is new. */
-  async #pause(feed: FeedName, signal: AbortSignal): Promise<void> {
-    const progress = this.#feeds[feed];
-    const began = this.#clock.now();
-    const isFed = () =>
-      !this.#isHurried() &&
-      this.#clock.now() - progress.fedAt < FED_VALID_MS &&
-      this.#clock.now() - began < FED_READ_MS;
+  /** Delays the next read, for longer while a peer sends updates. */
+  async #delayNextRead(feed: FeedName, signal: AbortSignal): Promise<void> {
+    const state = this.#feeds[feed];
+    const startedAt = this.#clock.now();
+    const isUpdatedByPeer = () =>
+      !this.#isAtFullRate() &&
+      this.#clock.now() - state.updatedAt < UPDATE_VALIDITY_MS &&
+      this.#clock.now() - startedAt < MAX_READ_DELAY_MS;
     do {
       await this.#clock.sleep(this.batchDelayMs(feed), signal);
-    } while (isFed());
+    } while (isUpdatedByPeer());
   }
 
   /** Reads once; the result is the number of records. */
@@ -266,21 +266,21 @@
     feed: FeedName,
     signal: AbortSignal,
   ): Promise<Result<number, { message: string }>> {
-    const progress = this.#feeds[feed];
-    if (!progress.isLoaded) {
+    const state = this.#feeds[feed];
+    if (!state.isLoaded) {
       return this.#load(feed, signal);
     }
-    const batch = await this.#topics.readFrom(
+    const batch = await this.#store.readFrom(
       feed,
-      progress.table.next,
+      state.table.next,
       this.#waitMs(feed),
       signal,
     );
     if (batch.isErr && batch.error.isHistoryLost) {
-      progress.isLoaded = false;
+      state.isLoaded = false;
       this.#logger.warn("feed_history_lost", {
         feed,
-        offset: progress.table.next,
+        offset: state.table.next,
       });
       return this.#load(feed, signal);
     }
@@ -291,7 +291,7 @@
     feed: FeedName,
     signal: AbortSignal,
   ): Promise<Result<number, { message: string }>> {
-    const snapshot = await this.#topics.readNewest(feed, signal);
+    const snapshot = await this.#store.readNewest(feed, signal);
     return snapshot.map(({ records, next }) => {
       this.#apply(feed, (table) => table.applySnapshot(records, next));
       this.#feeds[feed].isLoaded = true;
@@ -308,32 +308,32 @@
     feed: FeedName,
     change: (table: RecordTable) => readonly KeyRecord[],
   ): void {
-    const progress = this.#feeds[feed];
-    const changed = change(progress.table);
+    const state = this.#feeds[feed];
+    const changed = change(state.table);
     if (changed.length > 0) {
-      progress.listeners.forEach((listener) => listener(changed));
+      state.listeners.forEach((listener) => listener(changed));
     }
   }
 
-  #noteSuccess(feed: FeedName, began: number): void {
-    const progress = this.#feeds[feed];
-    if (!progress.isReachable) {
-      progress.isReachable = true;
+  #noteSuccess(feed: FeedName, startedAt: number): void {
+    const state = this.#feeds[feed];
+    if (!state.isReachable) {
+      state.isReachable = true;
       this.#logger.info("dependency_regained", { dependency: "store", feed });
     }
     const now = this.#clock.now();
-    if (began - (progress.failingSince ?? began) >= OUTAGE_MS) {
-      progress.outageEndedAt = now;
+    if (startedAt - (state.failingSince ?? startedAt) >= MIN_OUTAGE_MS) {
+      state.outageEndedAt = now;
     }
-    progress.failingSince = undefined;
-    progress.currentAt = Math.max(progress.currentAt, began);
+    state.failingSince = undefined;
+    state.upToDateAt = Math.max(state.upToDateAt, startedAt);
   }
 
-  #noteFailure(feed: FeedName, began: number, error: string): void {
-    const progress = this.#feeds[feed];
-    progress.failingSince ??= began;
-    if (progress.isReachable) {
-      progress.isReachable = false;
+  #noteFailure(feed: FeedName, startedAt: number, error: string): void {
+    const state = this.#feeds[feed];
+    state.failingSince ??= startedAt;
+    if (state.isReachable) {
+      state.isReachable = false;
       this.#logger.warn("dependency_lost", {
         dependency: "store",
         feed,
@@ -343,24 +343,24 @@
     }
   }
 
-  /** Half of the pause is random, so that nodes do not return in step. */
-  #drawRetryMs(failures: number): number {
-    const most = MAX_RETRY_MS +
-      MAX_RETRY_MS_PER_NODE * this.#countFurtherNodes();
-    const limit = Math.min(most, RETRY_MS * 2 ** (failures - 1));
-    return limit * (1 + this.#random.fraction()) / 2;
+  /** Half of the delay is random, so that nodes do not retry at the same time. */
+  #drawRetryDelayMs(failures: number): number {
+    const maxMs = MAX_RETRY_DELAY_MS +
+      MAX_RETRY_DELAY_MS_PER_NODE * this.#countExtraNodes();
+    const delayMs = Math.min(maxMs, RETRY_DELAY_MS * 2 ** (failures - 1));
+    return delayMs * (1 + this.#random.fraction()) / 2;
   }
 }
 
-function createProgress(): Progress {
+function createState(): FeedState {
   return {
     table: new RecordTable(),
     listeners: new Set(),
     isLoaded: false,
-    currentAt: -Infinity,
+    upToDateAt: -Infinity,
     isReachable: false,
     failingSince: -Infinity,
-    fedAt: -Infinity,
+    updatedAt: -Infinity,
     outageEndedAt: Infinity,
   };
 }
--- a/packages/relay/src/feeds/record-table.ts
+++ b/packages/relay/src/feeds/record-table.ts
@@ -1,12 +1,12 @@
 /**
- * The newest record of each key of one topic.
+ * A compacted copy of one topic.
  *
  * @module
  */
 import type { KeyRecord } from "../model/peer-message.ts";
 
 /**
- * Holds the newest record of each key, deletions included. Records may come
+ * Holds the newest record of each key, including deletions. Records may arrive
  * from the store and from peers in any order; an older offset never replaces a
  * newer one.
  */
@@ -14,24 +14,27 @@
   #records = new Map<string, KeyRecord>();
   #next = 0;
 
-  /** The offset up to which every record was applied. */
+  /** The offset below which every record has been applied. */
   get next(): number {
     return this.#next;
   }
 
-  /** The records of keys that exist. */
+  /** The records of keys that are not deleted. */
   list(): KeyRecord[] {
     return [...this.#records.values()]
       .filter(({ value }) => value !== undefined);
   }
 
-  /** Records from an offset on, deletions included. */
+  /** The newest records from an offset on, including deletions. */
   listFrom(offset: number): KeyRecord[] {
     return [...this.#records.values()]
       .filter((record) => record.offset >= offset);
   }
 
-  /** Applies records that complete the table up to `next`. */
+  /**
+   * Applies records that complete the table up to `next`; the result is those
+   * that changed it.
+   */
   apply(records: readonly KeyRecord[], next: number): KeyRecord[] {
     const changed = records.filter((record) => this.#put(record));
     this.#next = Math.max(this.#next, next);
@@ -39,13 +42,13 @@
   }
 
   /**
-   * Applies a snapshot that was begun when the topic ended at `next`. A key
-   * that it does not name was deleted, unless its record is newer.
+   * Applies a snapshot whose reading began when the topic ended at `next`. A key
+   * that it does not contain was deleted, unless its record is newer.
    */
   applySnapshot(records: readonly KeyRecord[], next: number): KeyRecord[] {
-    const named = new Set(records.map(({ key }) => key));
+    const snapshotKeys = new Set(records.map(({ key }) => key));
     const deleted = this.list()
-      .filter(({ key, offset }) => !named.has(key) && offset < next)
+      .filter(({ key, offset }) => !snapshotKeys.has(key) && offset < next)
       .map(({ key }) => ({ key, offset: next - 1, value: undefined }));
     return this.apply([...records, ...deleted], next);
   }
--- a/packages/relay/src/peers/feed-exchange.ts
+++ b/packages/relay/src/peers/feed-exchange.ts
@@ -1,5 +1,5 @@
 /**
- * Records that nodes pass on to each other when the store does not give them.
+ * Exchange of records between nodes, for a node that the store does not serve.
  *
  * @module
  */
@@ -8,30 +8,30 @@
 import { type MessageOf, SharedFeed } from "../model/peer-message.ts";
 import type { RelayKernel } from "../services.ts";
 
-type Beat = MessageOf<"beat">;
+type Heartbeat = MessageOf<"beat">;
 
 /**
- * This node's own read of the store normally brings a change in this time, after
- * its pause between reads.
+ * Within this time after the delay between reads, this node normally reads a
+ * change from the store itself.
  */
-const FETCH_AFTER_MS = 200;
-/** Peers that know more are asked in turn, as each sends the same records. */
-const FETCH_PAUSE_MS = 100;
+const FETCH_DELAY_MS = 200;
+/** Minimum time between two fetches, as each peer sends the same records. */
+const MIN_FETCH_INTERVAL_MS = 100;
 
-/** An offset of a peer that this node has not reached. */
-interface Ahead {
+/** An offset of a peer that this node has not reached yet. */
+interface Lag {
   readonly offset: number;
   readonly since: number;
 }
 
-/** Compares what this node and its peers have read. */
+/** Compares the offsets of this node and its peers, and transfers records. */
 export class FeedExchange {
   #clock: Clock;
   #logger: Logger;
   #feeds: Feeds;
-  /** What a peer knew more of a feed than this node, and since when. */
-  #behind = new Map<string, Ahead>();
-  /** When a peer was last asked for records of a feed. */
+  /** How far this node is behind a peer, by peer and feed. */
+  #lags = new Map<string, Lag>();
+  /** When records of a feed were last requested from a peer. */
   #fetchedAt = new Map<SharedFeed, number>();
 
   constructor(kernel: RelayKernel) {
@@ -40,10 +40,10 @@
     this.#feeds = kernel.find("feeds");
   }
 
-  /** How far this node has read, for its beats. */
-  describe(): Pick<Beat, "offsets" | "agesMs"> {
-    const offsets = {} as Beat["offsets"];
-    const agesMs = {} as Beat["agesMs"];
+  /** The offsets and ages of this node's feeds, for its heartbeats. */
+  describeProgress(): Pick<Heartbeat, "offsets" | "agesMs"> {
+    const offsets = {} as Heartbeat["offsets"];
+    const agesMs = {} as Heartbeat["agesMs"];
     for (const feed of SharedFeed.options) {
       offsets[feed] = this.#feeds.table(feed).next;
       agesMs[feed] = Math.min(this.#feeds.ageMs(feed), Number.MAX_SAFE_INTEGER);
@@ -51,15 +51,15 @@
     return { offsets, agesMs };
   }
 
-  /** The requests for records that a peer has and the store has not given. */
-  compare(peer: string, beat: Beat): MessageOf<"fetch">[] {
+  /** The fetches for records that a peer has and the store did not return. */
+  compareProgress(peer: string, heartbeat: Heartbeat): MessageOf<"fetch">[] {
     return SharedFeed.options.flatMap((feed) =>
-      this.#compareFeed(peer, beat, feed)
+      this.#compareFeed(peer, heartbeat, feed)
     );
   }
 
-  /** The records that a peer asks for. */
-  answer({ feed, from }: MessageOf<"fetch">): MessageOf<"records"> {
+  /** The reply to a peer's fetch. */
+  answerFetch({ feed, from }: MessageOf<"fetch">): MessageOf<"records"> {
     const table = this.#feeds.table(feed);
     return {
       kind: "records",
@@ -69,8 +69,11 @@
     };
   }
 
-  /** Takes the records of a peer. */
-  apply(peer: string, { feed, records, next }: MessageOf<"records">): void {
+  /** Applies the records that a peer sent. */
+  applyRecords(
+    peer: string,
+    { feed, records, next }: MessageOf<"records">,
+  ): void {
     this.#logger.info("feed_from_peer", {
       feed,
       peer,
@@ -80,44 +83,45 @@
     this.#feeds.applyFromPeer(feed, records, next);
   }
 
-  /** Forgets a peer whose connection has ended. */
-  forget(peer: string): void {
+  /** Removes a peer whose connection has ended. */
+  remove(peer: string): void {
     SharedFeed.options.forEach((feed) =>
-      this.#behind.delete(createKey(peer, feed))
+      this.#lags.delete(createKey(peer, feed))
     );
   }
 
   #compareFeed(
     peer: string,
-    { offsets, agesMs }: Beat,
+    { offsets, agesMs }: Heartbeat,
     feed: SharedFeed,
   ): MessageOf<"fetch">[] {
     const key = createKey(peer, feed);
-    const own = this.#feeds.table(feed).next;
-    const theirs = offsets[feed];
-    if (theirs <= own) {
-      this.#behind.delete(key);
-      if (theirs === own) {
+    const ownNext = this.#feeds.table(feed).next;
+    const peerNext = offsets[feed];
+    if (peerNext <= ownNext) {
+      this.#lags.delete(key);
+      if (peerNext === ownNext) {
         this.#feeds.markUpToDate(feed, agesMs[feed]);
       }
       return [];
     }
     const now = this.#clock.now();
-    const known = this.#behind.get(key);
-    // A peer that reads more often is always a little ahead.
-    const lead = known !== undefined && own < known.offset
+    const known = this.#lags.get(key);
+    // Reaching a known offset restarts the timing, as a peer that reads more often
+    // is always slightly ahead.
+    const lag = known !== undefined && ownNext < known.offset
       ? known
-      : { offset: theirs, since: now };
+      : { offset: peerNext, since: now };
     const isLate = !this.#feeds.isReachable(feed) ||
-      now - lead.since >= FETCH_AFTER_MS + this.#feeds.batchDelayMs(feed);
+      now - lag.since >= FETCH_DELAY_MS + this.#feeds.batchDelayMs(feed);
     const fetchedAt = this.#fetchedAt.get(feed) ?? -Infinity;
-    const isDue = isLate && now - fetchedAt >= FETCH_PAUSE_MS;
-    this.#behind.set(key, isDue ? { offset: theirs, since: now } : lead);
+    const isDue = isLate && now - fetchedAt >= MIN_FETCH_INTERVAL_MS;
+    this.#lags.set(key, isDue ? { offset: peerNext, since: now } : lag);
     if (!isDue) {
       return [];
     }
     this.#fetchedAt.set(feed, now);
-    return [{ kind: "fetch", feed, from: own }];
+    return [{ kind: "fetch", feed, from: ownNext }];
   }
 }
 
--- a/packages/relay/src/peers/idle-timeout.ts
+++ b/packages/relay/src/peers/idle-timeout.ts
@@ -1,49 +1,49 @@
 /**
- * A limit on the time without a message.
+ * A timeout for connections without messages.
  *
  * @module
  */
 import type { Clock } from "@zinniahill/kernel";
 
 /**
- * Calls back once when the limit has passed without a reset. A reset only notes
- * the time: a timer for each message would cost more than the message.
+ * Calls back once when the timeout has elapsed without a reset. A reset only
+ * stores the time, as a timer for each message would cost more than the message.
  */
 export class IdleTimeout {
   #clock: Pick<Clock, "now" | "schedule">;
-  #onSilent: () => void;
-  #dueAt: number;
-  #cancel: () => void;
+  #onTimeout: () => void;
+  #expiresAt: number;
+  #cancelTimer: () => void;
 
   constructor(
     clock: Pick<Clock, "now" | "schedule">,
-    limitMs: number,
-    onSilent: () => void,
+    timeoutMs: number,
+    onTimeout: () => void,
   ) {
     this.#clock = clock;
-    this.#onSilent = onSilent;
-    this.#dueAt = clock.now() + limitMs;
-    this.#cancel = clock.schedule(limitMs, () => this.#check());
+    this.#onTimeout = onTimeout;
+    this.#expiresAt = clock.now() + timeoutMs;
+    this.#cancelTimer = clock.schedule(timeoutMs, () => this.#check());
   }
 
-  /** Lets the limit begin anew. */
-  reset(limitMs: number): void {
-    this.#dueAt = this.#clock.now() + limitMs;
+  /** Restarts the timeout. */
+  reset(timeoutMs: number): void {
+    this.#expiresAt = this.#clock.now() + timeoutMs;
   }
 
-  /** Ends the limit without a call. */
+  /** Cancels the timeout. */
   cancel(): void {
-    this.#cancel();
+    this.#cancelTimer();
   }
 
   #check(): void {
-    const leftMs = this.#dueAt - this.#clock.now();
-    if (leftMs <= 0) {
-      this.#onSilent();
+    const remainingMs = this.#expiresAt - this.#clock.now();
+    if (remainingMs <= 0) {
+      this.#onTimeout();
     } else {
       // Timers may fire up to a millisecond early.
-      this.#cancel = this.#clock.schedule(
-        Math.ceil(leftMs),
+      this.#cancelTimer = this.#clock.schedule(
+        Math.ceil(remainingMs),
         () => this.#check(),
       );
     }
--- a/packages/relay/src/peers/instance-updates.ts
+++ b/packages/relay/src/peers/instance-updates.ts
@@ -1,9 +1,9 @@
 /**
- * Passes changes of the instances from the holder of placement to its peers.
+ * Sends changes of the instances from the holder of placement to its peers.
  *
- * The holder reads the store at the shortest interval. Most of what it reads
- * only renews entries; what is new goes to all nodes at once, so that each of
- * them needs to read the store only now and then.
+ * The holder reads the store most often. Most of the records that it reads only
+ * renew entries; it sends the others to all nodes at once, so that these need to
+ * read the store only occasionally.
  *
  * @module
  */
@@ -16,18 +16,18 @@
 import type { Mesh } from "./mesh.ts";
 
 const FEED = "instances";
-/** Peers hear this often how far the holder has read, if nothing is new. */
-const IDLE_MS = 400;
+/** How often peers are told the holder's offset if nothing has changed. */
+const IDLE_INTERVAL_MS = 400;
 
-/** Sends news while this node holds placement, and takes those of the holder. */
+/** Sends updates while this node holds placement, and applies the holder's. */
 export class InstanceUpdates implements Service {
   #clock: Clock;
   #feeds: Feeds;
   #mesh: Mesh;
   #holder: HolderElector;
-  /** The offset up to which peers were told; undefined if this node is silent. */
-  #toldNext: number | undefined;
-  #toldAt = -Infinity;
+  /** The end of the last update; undefined while this node sends none. */
+  #sentNext: number | undefined;
+  #sentAt = -Infinity;
 
   constructor(kernel: RelayKernel) {
     this.#clock = kernel.find("clock");
@@ -35,37 +35,40 @@
     this.#mesh = kernel.find("mesh");
     this.#holder = kernel.find("holder");
     const instances: Instances = kernel.find("instances");
-    instances.onUpdate((news) => this.#tell(news));
-    this.#mesh.onMessage("news", (message) => this.#take(message));
+    instances.onUpdate((records) => this.#send(records));
+    this.#mesh.onMessage("news", (message) => this.#apply(message));
   }
 
   dump(): unknown {
-    return { toldNext: this.#toldNext };
+    return { toldNext: this.#sentNext };
   }
 
-  #tell(records: readonly KeyRecord[]): void {
+  #send(records: readonly KeyRecord[]): void {
     if (!this.#holder.isHolder) {
-      this.#toldNext = undefined;
+      this.#sentNext = undefined;
       return;
     }
     const now = this.#clock.now();
     const { next } = this.#feeds.table(FEED);
-    const from = this.#toldNext;
-    // Peers can be told only what came since this node began to tell them.
+    const from = this.#sentNext;
+    // An update can cover only what was read since this node became the sender.
     const isDue = from === undefined || records.length > 0 ||
-      now - this.#toldAt >= IDLE_MS;
+      now - this.#sentAt >= IDLE_INTERVAL_MS;
     if (!isDue) {
       return;
     }
-    this.#toldNext = next;
-    this.#toldAt = now;
+    this.#sentNext = next;
+    this.#sentAt = now;
     if (from !== undefined) {
       this.#mesh.broadcast({ kind: "news", from, next, records: [...records] });
     }
   }
 
-  /** News after a gap are of no use: the store or a peer gives what is missing. */
-  #take({ from, next, records }: MessageOf<"news">): void {
+  /**
+   * Ignores an update after a gap: the store or a peer supplies the missing
+   * records.
+   */
+  #apply({ from, next, records }: MessageOf<"news">): void {
     if (from <= this.#feeds.table(FEED).next) {
       this.#feeds.applyUpdate(FEED, records, next);
     }
--- a/packages/relay/src/peers/mesh.ts
+++ b/packages/relay/src/peers/mesh.ts
@@ -1,5 +1,5 @@
 /**
- * Connections to the other nodes: one task for each.
+ * Connections to the other nodes, with one task for each.
  *
  * @module
  */
@@ -35,7 +35,7 @@
 import { PeerLoads } from "./peer-loads.ts";
 import { IdleTimeout } from "./idle-timeout.ts";
 
-type Beat = MessageOf<"beat">;
+type Heartbeat = MessageOf<"beat">;
 
 /** Handlers of messages, by kind. */
 type Handlers = {
@@ -45,25 +45,25 @@
   ) => void;
 };
 
-/** A live connection to another node. */
+/** An open connection to another node. */
 interface Link {
   readonly entry: NodeEntry;
   readonly connection: PeerConnection;
-  heardAt: number;
-  beat: Beat | undefined;
+  lastMessageAt: number;
+  lastHeartbeat: Heartbeat | undefined;
 }
 
-const BEAT_MS = 150;
-/** Beats of all nodes together must not grow with the square of their number. */
-const BEAT_MS_PER_PEER = 15;
-/** Beats that may be missed before a peer counts as lost. */
-const MISSED_BEATS = 6;
+const MIN_HEARTBEAT_INTERVAL_MS = 150;
+/** Keeps the rate of all heartbeats linear, not quadratic, in the nodes. */
+const HEARTBEAT_INTERVAL_MS_PER_PEER = 15;
+/** A connection without a message for this many heartbeat intervals is closed. */
+const MAX_MISSED_HEARTBEATS = 6;
 const CONNECT_TIMEOUT_MS = 500;
-const REDIAL_MS = 200;
-const MAX_REDIAL_MS = 2000;
-/** A peer that does not read is cut off rather than waited for. */
+const RECONNECT_DELAY_MS = 200;
+const MAX_RECONNECT_DELAY_MS = 2000;
+/** A peer that does not read is disconnected rather than waited for. */
 const MAX_QUEUED_BYTES = 4 * 1024 * 1024;
-const ANNOUNCE_RETRY_MS = 500;
+const ANNOUNCE_RETRY_DELAY_MS = 500;
 
 /** Keeps a connection to each other node. */
 export class Mesh implements Service {
@@ -71,19 +71,19 @@
   #logger: Logger;
   #random: Random;
   #transport: PeerTransport;
-  #topics: FeedStore;
+  #store: FeedStore;
   #decoder: RecordDecoder;
   #exchange: FeedExchange;
   #lifecycle: Lifecycle;
   #intake: CapacityMonitor;
-  #own: NodeEntry;
+  #ownEntry: NodeEntry;
   #directory: NodeDirectory;
   #tasks: TaskGroup;
   #links = new Map<string, Link>();
-  #work = new PeerLoads();
-  #dialing = new Set<string>();
+  #peerLoads = new PeerLoads();
+  #dialed = new Set<string>();
   #readOutstanding: OutstandingSource = () => [];
-  #readClaim = (): PlacementRole => ({ isHolder: false, isCandidate: false });
+  #readRole = (): PlacementRole => ({ isHolder: false, isCandidate: false });
   #listeners: MessageListeners = {};
 
   constructor(kernel: RelayKernel) {
@@ -91,20 +91,20 @@
     this.#logger = kernel.find("logger");
     this.#random = kernel.find("random");
     this.#transport = kernel.find("peerTransport");
-    this.#topics = kernel.find("topics");
+    this.#store = kernel.find("topics");
     this.#decoder = kernel.find("decoder");
     this.#exchange = new FeedExchange(kernel);
     this.#lifecycle = kernel.find("lifecycle");
     this.#intake = kernel.find("intake");
     const { node } = kernel.find("settings");
-    this.#own = {
+    this.#ownEntry = {
       name: node.name,
       incarnation: this.#random.id(),
       dataCentre: node.dataCentre,
       publicAddress: node.publicAddress,
       peerAddress: node.peerAddress,
     };
-    this.#directory = new NodeDirectory(this.#own);
+    this.#directory = new NodeDirectory(this.#ownEntry);
     this.#tasks = new TaskGroup(this.#clock, this.#logger);
     kernel.find("feeds").onChange("nodes", (records) => {
       for (const { value } of records) {
@@ -112,7 +112,7 @@
           ? undefined
           : this.#decoder.node(value);
         entry?.match({
-          Ok: (node) => this.#learn(node),
+          Ok: (node) => this.#addNode(node),
           Err: (error) => this.#logger.warn("node_entry_unreadable", { error }),
         });
       }
@@ -121,11 +121,11 @@
 
   async start(): Promise<void> {
     await this.#transport.listen(
-      this.#own.peerAddress,
+      this.#ownEntry.peerAddress,
       (connection) => this.#accept(connection),
     );
     this.#tasks.run("announce", (signal) => this.#announce(signal));
-    this.#tasks.run("beat", (signal) => this.#beatForever(signal));
+    this.#tasks.run("beat", (signal) => this.#sendHeartbeats(signal));
     this.#lifecycle.onChange(() => this.broadcastHeartbeat());
   }
 
@@ -138,20 +138,20 @@
 
   /** This node's entry. */
   get ownEntry(): NodeEntry {
-    return this.#own;
+    return this.#ownEntry;
   }
 
-  /** Sets what beats say of requests in progress. */
+  /** Sets the source of the requests in progress that heartbeats report. */
   setOutstandingSource(source: OutstandingSource): void {
     this.#readOutstanding = source;
   }
 
-  /** Sets what beats say of this node's giving orders. */
+  /** Sets the source of the placement role that heartbeats report. */
   setPlacementSource(source: () => PlacementRole): void {
-    this.#readClaim = source;
+    this.#readRole = source;
   }
 
-  /** Sets what is done with messages that are not about the mesh itself. */
+  /** Sets the listener for a kind of message that the mesh only forwards. */
   onMessage<Kind extends ForwardedKind>(
     kind: Kind,
     listener: MessageListeners[Kind] & object,
@@ -159,25 +159,27 @@
     this.#listeners[kind] = listener;
   }
 
-  /** Nodes that were heard lately, apart from this one. */
+  /** Connected nodes other than this one. */
   list(): Peer[] {
     const now = this.#clock.now();
-    return [...this.#links.values()].map(({ entry, beat, heardAt }) => ({
+    return [...this.#links.values()].map((
+      { entry, lastHeartbeat, lastMessageAt },
+    ) => ({
       entry,
-      isServing: beat?.isServing ?? false,
-      holdsPlacement: beat?.holdsPlacement ?? false,
-      seeksPlacement: beat?.seeksPlacement ?? false,
-      capacity: beat?.capacity ?? 0,
-      silentMs: now - heardAt,
+      isServing: lastHeartbeat?.isServing ?? false,
+      holdsPlacement: lastHeartbeat?.holdsPlacement ?? false,
+      seeksPlacement: lastHeartbeat?.seeksPlacement ?? false,
+      capacity: lastHeartbeat?.capacity ?? 0,
+      silentMs: now - lastMessageAt,
     }));
   }
 
-  /** What the other nodes say of their requests in progress. */
+  /** The requests in progress that the other nodes report. */
   get peerLoads(): Omit<PeerLoads, "update" | "remove"> {
-    return this.#work;
+    return this.#peerLoads;
   }
 
-  /** Nodes that are known, whether they were heard or not, and this one. */
+  /** Number of known nodes, connected or not, including this one. */
   countNodes(): number {
     return Math.max(this.#links.size, this.#directory.list().length) + 1;
   }
@@ -196,65 +198,70 @@
     this.#links.forEach((link) => this.#sendBytes(link, bytes));
   }
 
-  /** Tells all peers at once how this node is. */
+  /** Sends a heartbeat to all peers immediately. */
   broadcastHeartbeat(): void {
-    this.broadcast(this.#createBeat());
+    this.broadcast(this.#createHeartbeat());
   }
 
   dump(): unknown {
-    return [...this.#links.values()].map(({ entry, heardAt, beat }) => ({
+    return [...this.#links.values()].map((
+      { entry, lastMessageAt, lastHeartbeat },
+    ) => ({
       name: entry.name,
-      heardMsAgo: Math.round(this.#clock.now() - heardAt),
-      isServing: beat?.isServing,
-      offsets: beat?.offsets,
+      heardMsAgo: Math.round(this.#clock.now() - lastMessageAt),
+      isServing: lastHeartbeat?.isServing,
+      offsets: lastHeartbeat?.offsets,
     }));
   }
 
   async #announce(signal: AbortSignal): Promise<void> {
     for (;;) {
-      const written = await this.#topics.announceNode(this.#own, signal);
+      const written = await this.#store.announceNode(this.#ownEntry, signal);
       if (written.isOk || signal.aborted) {
         return;
       }
       this.#logger.warn("node_announcement_failed", {
         error: written.error.message,
       });
-      await this.#clock.sleep(ANNOUNCE_RETRY_MS, signal);
+      await this.#clock.sleep(ANNOUNCE_RETRY_DELAY_MS, signal);
     }
   }
 
-  async #beatForever(signal: AbortSignal): Promise<void> {
+  async #sendHeartbeats(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       this.broadcastHeartbeat();
-      await this.#clock.sleep(this.#beatMs, signal);
+      await this.#clock.sleep(this.#heartbeatIntervalMs, signal);
     }
   }
 
-  get #beatMs(): number {
-    return Math.max(BEAT_MS, BEAT_MS_PER_PEER * this.#links.size);
+  get #heartbeatIntervalMs(): number {
+    return Math.max(
+      MIN_HEARTBEAT_INTERVAL_MS,
+      HEARTBEAT_INTERVAL_MS_PER_PEER * this.#links.size,
+    );
   }
 
-  #createBeat(): Beat {
-    const { isHolder, isCandidate } = this.#readClaim();
+  #createHeartbeat(): Heartbeat {
+    const { isHolder, isCandidate } = this.#readRole();
     return {
       kind: "beat",
       isServing: this.#lifecycle.isServing,
       holdsPlacement: isHolder,
       seeksPlacement: isCandidate,
       capacity: this.#intake.capacity,
-      ...this.#exchange.describe(),
+      ...this.#exchange.describeProgress(),
       outstanding: [...this.#readOutstanding()],
     };
   }
 
-  /** Of two nodes, the one whose name sorts first dials. */
-  #learn(entry: NodeEntry): void {
+  /** Adds a node; of two nodes, the one whose name sorts first connects. */
+  #addNode(entry: NodeEntry): void {
     if (!this.#directory.add(entry)) {
       return;
     }
     const { name } = entry;
-    if (this.#own.name < name && !this.#dialing.has(name)) {
-      this.#dialing.add(name);
+    if (this.#ownEntry.name < name && !this.#dialed.has(name)) {
+      this.#dialed.add(name);
       this.#tasks.run(`dial_${name}`, (signal) => this.#dial(name, signal));
     }
   }
@@ -268,20 +275,24 @@
           this.#clock,
           CONNECT_TIMEOUT_MS,
           signal,
-          (bounded) => this.#transport.connect(entry.peerAddress, bounded),
+          (connectSignal) =>
+            this.#transport.connect(entry.peerAddress, connectSignal),
         );
         failures = 0;
-        await this.#converse(connection, signal);
-      } catch (failure) {
+        await this.#serveConnection(connection, signal);
+      } catch (error) {
         failures++;
         this.#logger.debug("peer_unreachable", {
           peer: name,
-          error: describeError(failure),
+          error: describeError(error),
         });
       }
-      const pauseMs = Math.min(MAX_REDIAL_MS, REDIAL_MS * 2 ** failures);
+      const delayMs = Math.min(
+        MAX_RECONNECT_DELAY_MS,
+        RECONNECT_DELAY_MS * 2 ** failures,
+      );
       await this.#clock.sleep(
-        pauseMs * (1 + this.#random.fraction()) / 2,
+        delayMs * (1 + this.#random.fraction()) / 2,
         signal,
       );
     }
@@ -290,45 +301,45 @@
   #accept(connection: PeerConnection): void {
     this.#tasks.run(
       "accepted_peer",
-      (signal) => this.#converse(connection, signal),
+      (signal) => this.#serveConnection(connection, signal),
     );
   }
 
-  /** Serves one connection until it ends or falls silent. */
-  async #converse(
+  /** Serves one connection until it ends or times out. */
+  async #serveConnection(
     connection: PeerConnection,
     signal: AbortSignal,
   ): Promise<void> {
     let link: Link | undefined;
-    const silence = new IdleTimeout(
+    const idleTimeout = new IdleTimeout(
       this.#clock,
-      MISSED_BEATS * this.#beatMs,
+      MAX_MISSED_HEARTBEATS * this.#heartbeatIntervalMs,
       () => connection.close(),
     );
     connection.send(encodeMessage({
       kind: "hello",
-      entry: this.#own,
+      entry: this.#ownEntry,
       known: this.#directory.listAll(),
     }));
-    connection.send(encodeMessage(this.#createBeat()));
+    connection.send(encodeMessage(this.#createHeartbeat()));
     try {
       for (;;) {
         const bytes = await connection.receive(signal);
         if (bytes === undefined) {
           return;
         }
-        silence.reset(MISSED_BEATS * this.#beatMs);
-        link = this.#handle(connection, link, bytes);
+        idleTimeout.reset(MAX_MISSED_HEARTBEATS * this.#heartbeatIntervalMs);
+        link = this.#handleMessage(connection, link, bytes);
       }
     } finally {
-      silence.cancel();
+      idleTimeout.cancel();
       connection.close();
-      this.#unlink(link);
+      this.#removeLink(link);
     }
   }
 
-  /** Handles one message; the first one says who the peer is. */
-  #handle(
+  /** Handles one message; the first one identifies the peer. */
+  #handleMessage(
     connection: PeerConnection,
     link: Link | undefined,
     bytes: Uint8Array,
@@ -342,59 +353,65 @@
       return link;
     }
     const message = decoded.value;
-    const known = message.kind === "hello"
-      ? this.#link(connection, message)
+    const identified = message.kind === "hello"
+      ? this.#addLink(connection, message)
       : link;
-    if (known !== undefined) {
-      known.heardAt = this.#clock.now();
+    if (identified !== undefined) {
+      identified.lastMessageAt = this.#clock.now();
       const handle = this.#handlers[message.kind] as (
         link: Link,
         message: PeerMessage,
       ) => void;
-      handle(known, message);
+      handle(identified, message);
     }
-    return known;
+    return identified;
   }
 
-  #link(connection: PeerConnection, { entry }: MessageOf<"hello">): Link {
+  #addLink(connection: PeerConnection, { entry }: MessageOf<"hello">): Link {
     const { name } = entry;
     this.#links.get(name)?.connection.close();
     const link: Link = {
       entry,
       connection,
-      heardAt: this.#clock.now(),
-      beat: undefined,
+      lastMessageAt: this.#clock.now(),
+      lastHeartbeat: undefined,
     };
     this.#links.set(name, link);
     this.#logger.info("peer_connected", { peer: name });
     return link;
   }
 
-  #unlink(link: Link | undefined): void {
+  #removeLink(link: Link | undefined): void {
     if (link !== undefined && this.#links.get(link.entry.name) === link) {
       this.#links.delete(link.entry.name);
-      this.#exchange.forget(link.entry.name);
-      this.#work.remove(link.entry.name);
+      this.#exchange.remove(link.entry.name);
+      this.#peerLoads.remove(link.entry.name);
       this.#logger.info("peer_lost", {
         peer: link.entry.name,
-        heard_ms_ago: Math.round(this.#clock.now() - link.heardAt),
+        heard_ms_ago: Math.round(this.#clock.now() - link.lastMessageAt),
       });
     }
   }
 
   readonly #handlers: Handlers = {
     hello: (_link, { entry, known }) => {
-      this.#learn(entry);
-      known.forEach((other) => this.#learn(other));
+      this.#addNode(entry);
+      known.forEach((other) => this.#addNode(other));
     },
-    beat: (link, beat) => {
-      link.beat = beat;
-      this.#work.update(link.entry.name, beat.outstanding, this.#clock.now());
-      this.#exchange.compare(link.entry.name, beat)
-        .forEach((request) => this.#send(link, request));
+    beat: (link, heartbeat) => {
+      link.lastHeartbeat = heartbeat;
+      this.#peerLoads.update(
+        link.entry.name,
+        heartbeat.outstanding,
+        this.#clock.now(),
+      );
+      this.#exchange.compareProgress(link.entry.name, heartbeat)
+        .forEach((fetch) => this.#send(link, fetch));
     },
-    fetch: (link, message) => this.#send(link, this.#exchange.answer(message)),
-    records: (link, message) => this.#exchange.apply(link.entry.name, message),
+    fetch: (link, message) =>
+      this.#send(link, this.#exchange.answerFetch(message)),
+    records: (link, message) =>
+      this.#exchange.applyRecords(link.entry.name, message),
     news: (link, message) => this.#listeners.news?.(message, link.entry),
     suspect: (link, message) => this.#listeners.suspect?.(message, link.entry),
     release: (link, message) => this.#listeners.release?.(message, link.entry),
--- a/packages/relay/src/peers/node-directory.ts
+++ b/packages/relay/src/peers/node-directory.ts
@@ -1,11 +1,11 @@
 /**
- * The nodes that are known by name.
+ * The known nodes, by name.
  *
  * @module
  */
 import type { NodeEntry } from "../model/peer-message.ts";
 
-/** Entries of other nodes, from the store and from peers. */
+/** Entries of the other nodes, from the store and from peers. */
 export class NodeDirectory {
   #own: NodeEntry;
   #entries = new Map<string, NodeEntry>();
@@ -14,12 +14,12 @@
     this.#own = own;
   }
 
-  /** Other nodes. */
+  /** The other nodes. */
   list(): NodeEntry[] {
     return [...this.#entries.values()];
   }
 
-  /** Other nodes and this one. */
+  /** The other nodes and this one. */
   listAll(): NodeEntry[] {
     return [this.#own, ...this.#entries.values()];
   }
@@ -28,7 +28,7 @@
     return this.#entries.get(name);
   }
 
-  /** Adds an entry; false when it is known or is this node's own. */
+  /** Adds an entry; false if it is known or is this node's own. */
   add(entry: NodeEntry): boolean {
     const known = this.#entries.get(entry.name);
     const isKnown = known !== undefined &&
--- a/packages/relay/src/peers/peer-codec.ts
+++ b/packages/relay/src/peers/peer-codec.ts
@@ -18,9 +18,9 @@
 ): Result<PeerMessage, string> {
   try {
     const parsed = PeerMessage.safeParse(unpack(bytes));
-    return parsed.success
-      ? Result.ok(parsed.data)
-      : Result.err(parsed.error.issues[0]?.message ?? "unknown message");
+    return parsed.success ? Result.ok(parsed.data) : Result.err(
+      parsed.error.issues[0]?.message ?? "message does not match the schema",
+    );
   } catch (failure) {
     return Result.err(String(failure));
   }
--- a/packages/relay/src/peers/peer-loads.ts
+++ b/packages/relay/src/peers/peer-loads.ts
@@ -1,71 +1,74 @@
 /**
- * Requests in progress that the other nodes have given to instances.
+ * Requests in progress that the other nodes have sent to instances.
  *
  * @module
  */
 import type { OutstandingCount } from "../model/peer-message.ts";
 
-/** What one node said of its requests at one instance. */
-interface Work {
+/** One node's requests at one instance. */
+interface InstanceLoad {
   readonly requests: number;
-  /** When an event last came to that node, by this node's clock. */
-  readonly eventAt: number;
+  /** When that node last received an event, by this node's clock. */
+  readonly lastEventAt: number;
 }
 
-/** What one node's last beat said. */
-interface Beat {
-  readonly at: number;
-  readonly works: ReadonlyMap<string, Work>;
+/** The content of one node's last heartbeat. */
+interface PeerReport {
+  readonly receivedAt: number;
+  readonly loads: ReadonlyMap<string, InstanceLoad>;
 }
 
-/** What each peer's last beat said, by peer and instance. */
+/** The loads that each peer's last heartbeat reported, by peer and instance. */
 export class PeerLoads {
-  #peers = new Map<string, Beat>();
+  #reports = new Map<string, PeerReport>();
 
-  /** Takes what a beat says that came now. */
+  /** Replaces the loads of a peer by those of a heartbeat that arrived now. */
   update(peer: string, counts: readonly OutstandingCount[], now: number): void {
-    const works = new Map(
+    const loads = new Map(
       counts.map(([instance, requests, eventAgeMs]) => [instance, {
         requests,
-        eventAt: eventAgeMs === null ? -Infinity : now - eventAgeMs,
+        lastEventAt: eventAgeMs === null ? -Infinity : now - eventAgeMs,
       }]),
     );
-    this.#peers.set(peer, { at: now, works });
+    this.#reports.set(peer, { receivedAt: now, loads });
   }
 
-  /** Forgets a peer that was lost. */
+  /** Removes a peer whose connection ended. */
   remove(peer: string): void {
-    this.#peers.delete(peer);
+    this.#reports.delete(peer);
   }
 
   /** Requests of all peers at an instance. */
   count(instance: string): number {
     let count = 0;
-    for (const { works } of this.#peers.values()) {
-      count += works.get(instance)?.requests ?? 0;
+    for (const { loads } of this.#reports.values()) {
+      count += loads.get(instance)?.requests ?? 0;
     }
     return count;
   }
 
   /**
-   * Requests of all peers at an instance that have probably not ended since the
-   * beats that named them, if one takes `meanMs`.
+   * Expected number of peers' requests at an instance that have not ended since
+   * the heartbeats that reported them, if requests take `meanMs` on average.
    */
   estimateCount(instance: string, meanMs: number, now: number): number {
     let count = 0;
-    for (const { at, works } of this.#peers.values()) {
-      const requests = works.get(instance)?.requests ?? 0;
-      count += requests * Math.exp((at - now) / meanMs);
+    for (const { receivedAt, loads } of this.#reports.values()) {
+      const requests = loads.get(instance)?.requests ?? 0;
+      count += requests * Math.exp((receivedAt - now) / meanMs);
     }
     return count;
   }
 
-  /** When an event of an instance last came to a peer, as far as is known. */
+  /** When any peer last received an event of an instance. */
   findLastEventAt(instance: string): number {
-    let eventAt = -Infinity;
-    for (const { works } of this.#peers.values()) {
-      eventAt = Math.max(eventAt, works.get(instance)?.eventAt ?? -Infinity);
+    let lastEventAt = -Infinity;
+    for (const { loads } of this.#reports.values()) {
+      lastEventAt = Math.max(
+        lastEventAt,
+        loads.get(instance)?.lastEventAt ?? -Infinity,
+      );
     }
-    return eventAt;
+    return lastEventAt;
   }
 }
--- a/packages/relay/src/peers/peer.ts
+++ b/packages/relay/src/peers/peer.ts
@@ -1,5 +1,5 @@
 /**
- * What other services know of the peers, and tell them.
+ * Types through which other services use the mesh.
  *
  * @module
  */
@@ -9,7 +9,7 @@
   OutstandingCount,
 } from "../model/peer-message.ts";
 
-/** A node that was heard lately. */
+/** A connected node, as its last heartbeat described it. */
 export interface Peer {
   readonly entry: NodeEntry;
   readonly isServing: boolean;
@@ -17,20 +17,20 @@
   readonly seeksPlacement: boolean;
   /** Share of a core that is free for callers. */
   readonly capacity: number;
-  /** Time since its last message. */
+  /** Time since the last message arrived. */
   readonly silentMs: number;
 }
 
-/** What a node says of placement. */
+/** A node's role in the election of the holder. */
 export interface PlacementRole {
   readonly isHolder: boolean;
   readonly isCandidate: boolean;
 }
 
-/** Adds to a beat what another service knows. */
+/** Supplies the counts of requests in progress for heartbeats. */
 export type OutstandingSource = () => readonly OutstandingCount[];
 
-/** Messages that other services handle. */
+/** Kinds of messages that other services handle. */
 export type ForwardedKind = "suspect" | "release" | "released" | "news";
 
 /** Listeners of other services, by kind of message. */
--- a/packages/relay/test/feeds/feeds.test.ts
+++ b/packages/relay/test/feeds/feeds.test.ts
@@ -11,16 +11,16 @@
 } from "../../src/index.ts";
 import type { RelayKernel, RelayServices } from "../../src/services.ts";
 
-const AWAY: Fault = { verdict: "not-run", message: "503" };
+const UNAVAILABLE: Fault = { verdict: "not-run", message: "503" };
 const EMPTY: Snapshot & Batch = { records: [], next: 0 };
 const POLL_MS = 200;
 
-/** A store that turns reads away for as long as the test says. */
-class SwitchedTopics implements FeedStore {
-  isAway = false;
+/** A store whose reads fail while `isUnavailable` is set. */
+class SwitchableStore implements FeedStore {
+  isUnavailable = false;
   /** Announced nodes. */
   nodes = 0;
-  /** Whether each read of the instances brings a record. */
+  /** Whether each read of the instances returns a record. */
   isBusy = false;
   instanceReads = 0;
   #clock: ManualClock;
@@ -48,7 +48,7 @@
       const record = { key: "i-1", offset, value: "{}" };
       return Result.ok({ records: [record], next: offset + 1 });
     }
-    if (!this.isAway) {
+    if (!this.isUnavailable) {
       await this.#clock.sleep(POLL_MS);
     }
     return this.#answer();
@@ -59,25 +59,25 @@
   }
 
   #answer(): Result<Snapshot & Batch, Fault> {
-    return this.isAway ? Result.err(AWAY) : Result.ok(EMPTY);
+    return this.isUnavailable ? Result.err(UNAVAILABLE) : Result.ok(EMPTY);
   }
 }
 
-async function start(isAway = false) {
+async function start(isUnavailable = false) {
   const clock = new ManualClock();
-  const topics = new SwitchedTopics(clock);
-  topics.isAway = isAway;
+  const store = new SwitchableStore(clock);
+  store.isUnavailable = isUnavailable;
   const silent = { error() {}, warn() {}, info() {}, debug() {} };
   const kernel: RelayKernel = new Kernel<RelayServices>();
   kernel
     .provide("clock", [], () => clock)
     .provide("random", [], () => new SeededRandom(1))
     .provide("logger", [], () => silent)
-    .provide("topics", [], () => topics);
+    .provide("topics", [], () => store);
   await kernel.start();
   const feeds = new Feeds(kernel);
   feeds.start();
-  return { clock, topics, feeds };
+  return { clock, store, feeds };
 }
 
 describe("Feeds", () => {
@@ -85,8 +85,8 @@
 
   afterEach(() => stop());
 
-  async function startFeeds(isAway = false) {
-    const started = await start(isAway);
+  async function startFeeds(isUnavailable = false) {
+    const started = await start(isUnavailable);
     stop = async () => {
       const stopped = started.feeds.stop();
       await started.clock.advance(POLL_MS);
@@ -95,117 +95,117 @@
     return started;
   }
 
-  describe("pace of reads", () => {
-    /** Reads of the instances in a second that brings a record each time. */
-    async function countReads(nodes: number, isHurried: boolean) {
-      const { clock, topics, feeds } = await startFeeds();
-      feeds.readAtFullRateWhile(() => isHurried);
-      topics.nodes = nodes;
-      topics.isBusy = true;
+  describe("the read rate", () => {
+    /** Reads of the instances in 2.4 s if each returns a record. */
+    async function countReads(nodes: number, isAtFullRate: boolean) {
+      const { clock, store, feeds } = await startFeeds();
+      feeds.readAtFullRateWhile(() => isAtFullRate);
+      store.nodes = nodes;
+      store.isBusy = true;
       feeds.applyFromPeer("nodes", [], 1);
       await clock.advance(1000);
-      topics.instanceReads = 0;
+      store.instanceReads = 0;
       await clock.advance(2400);
-      return topics.instanceReads;
+      return store.instanceReads;
     }
 
-    it("does not rise over all nodes with their number", async () => {
+    it("of all nodes together does not rise with their number", async () => {
       expect(await countReads(4, false)).toBe(40);
       await stop();
       expect(await countReads(32, false)).toBe(4);
     });
 
-    it("is that of few nodes where orders depend on it", async () => {
+    it("is the full rate on a node whose orders depend on it", async () => {
       expect(await countReads(32, true)).toBe(40);
     });
   });
 
-  describe("a node that hears what is new from a peer", () => {
-    async function startFed() {
+  describe("a node that receives updates from a peer", () => {
+    async function startUpdated() {
       const started = await startFeeds();
-      started.topics.isBusy = true;
+      started.store.isBusy = true;
       await started.clock.advance(1000);
       return started;
     }
 
-    /** Reads of the instances in some time with news at an interval. */
+    /** Reads of the instances in 9 s with an update at each interval. */
     async function countReads(
-      { clock, topics, feeds }: Awaited<ReturnType<typeof startFed>>,
-      newsMs: number,
+      { clock, store, feeds }: Awaited<ReturnType<typeof startUpdated>>,
+      intervalMs: number,
     ) {
-      topics.instanceReads = 0;
-      for (let passedMs = 0; passedMs < 9000; passedMs += newsMs) {
+      store.instanceReads = 0;
+      for (let elapsedMs = 0; elapsedMs < 9000; elapsedMs += intervalMs) {
         feeds.applyUpdate("instances", [], feeds.table("instances").next + 1);
-        await clock.advance(newsMs);
+        await clock.advance(intervalMs);
       }
-      return topics.instanceReads;
+      return store.instanceReads;
     }
 
-    it("reads the store now and then, as peers may miss a change", async () => {
-      const started = await startFed();
+    it("reads the store occasionally, as peers may miss a change", async () => {
+      const started = await startUpdated();
       const reads = await countReads(started, 300);
       expect(reads).toBeGreaterThanOrEqual(2);
       expect(reads).toBeLessThanOrEqual(4);
     });
 
-    it("reads at its own pace again a second after the last news", async () => {
-      const started = await startFed();
+    it("reads at its own rate again a second after the last update", async () => {
+      const started = await startUpdated();
       await countReads(started, 300);
-      const { clock, topics } = started;
+      const { clock, store } = started;
       await clock.advance(1000);
-      topics.instanceReads = 0;
+      store.instanceReads = 0;
       await clock.advance(600);
-      expect(topics.instanceReads).toBe(10);
+      expect(store.instanceReads).toBe(10);
     });
 
-    it("reads at its own pace where orders depend on it", async () => {
-      const started = await startFed();
+    it("reads at the full rate if its orders depend on it", async () => {
+      const started = await startUpdated();
       started.feeds.readAtFullRateWhile(() => true);
       expect(await countReads(started, 300)).toBeGreaterThan(100);
     });
 
-    it("does not take its own pause for an outage", async () => {
-      const started = await startFed();
+    it("does not count the delay between its reads as an outage", async () => {
+      const started = await startUpdated();
       await countReads(started, 300);
       expect(started.feeds.sinceOutageMs("instances")).toBeGreaterThan(9000);
     });
   });
 
   describe("time since the last outage", () => {
-    it("goes on over a failed read, which lets no entry lapse", async () => {
-      const { clock, topics, feeds } = await startFeeds();
+    it("includes a failed read, which lets no entry expire", async () => {
+      const { clock, store, feeds } = await startFeeds();
       await clock.advance(5000);
-      topics.isAway = true;
+      store.isUnavailable = true;
       await clock.advance(600);
-      topics.isAway = false;
+      store.isUnavailable = false;
       await clock.advance(1000);
       expect(feeds.isReachable("instances")).toBe(true);
       expect(feeds.sinceOutageMs("instances")).toBeGreaterThan(6000);
     });
 
-    it("begins anew after reads that failed for longer", async () => {
-      const { clock, topics, feeds } = await startFeeds();
+    it("restarts after reads that failed for longer", async () => {
+      const { clock, store, feeds } = await startFeeds();
       await clock.advance(5000);
-      topics.isAway = true;
+      store.isUnavailable = true;
       await clock.advance(2500);
-      topics.isAway = false;
+      store.isUnavailable = false;
       await clock.advance(1500);
       expect(feeds.sinceOutageMs("instances")).toBeLessThan(1501);
     });
 
-    it("is zero while the store stays away", async () => {
-      const { clock, topics, feeds } = await startFeeds();
+    it("is zero while the store is unavailable", async () => {
+      const { clock, store, feeds } = await startFeeds();
       await clock.advance(5000);
-      topics.isAway = true;
+      store.isUnavailable = true;
       await clock.advance(1500);
       expect(feeds.sinceOutageMs("instances")).toBe(0);
     });
 
-    it("is zero until the first read, as an outage may have gone before", async () => {
-      const { clock, topics, feeds } = await startFeeds(true);
+    it("is zero until the first read, as an outage may have preceded it", async () => {
+      const { clock, store, feeds } = await startFeeds(true);
       await clock.advance(400);
       expect(feeds.sinceOutageMs("instances")).toBe(0);
-      topics.isAway = false;
+      store.isUnavailable = false;
       await clock.advance(1500);
       expect(feeds.sinceOutageMs("instances")).toBeLessThan(1501);
     });
--- a/packages/relay/test/feeds/record-table.test.ts
+++ b/packages/relay/test/feeds/record-table.test.ts
@@ -3,7 +3,7 @@
 import { RecordTable } from "../../src/feeds/record-table.ts";
 import type { KeyRecord } from "../../src/index.ts";
 
-const anyLog: fc.Arbitrary<KeyRecord[]> = fc.array(
+const arbitraryLog: fc.Arbitrary<KeyRecord[]> = fc.array(
   fc.record({
     key: fc.constantFrom("a", "b", "c"),
     value: fc.option(fc.string({ minLength: 1 }), { nil: undefined }),
@@ -19,9 +19,9 @@
 
 describe("RecordTable", () => {
   describe("records in any order", () => {
-    it("never lets an older record replace a newer one", () => {
+    it("never let an older record replace a newer one", () => {
       fc.assert(fc.property(
-        anyLog.chain((log) =>
+        arbitraryLog.chain((log) =>
           fc.tuple(
             fc.constant(log),
             fc.shuffledSubarray(log, { minLength: log.length }),
@@ -30,14 +30,14 @@
         ([log, shuffled]) => {
           const inOrder = new RecordTable();
           inOrder.apply(log, log.length);
-          const mixed = new RecordTable();
-          shuffled.forEach((record) => mixed.apply([record], 0));
-          expect(readValues(mixed)).toEqual(readValues(inOrder));
+          const outOfOrder = new RecordTable();
+          shuffled.forEach((record) => outOfOrder.apply([record], 0));
+          expect(readValues(outOfOrder)).toEqual(readValues(inOrder));
         },
       ));
     });
 
-    it("reports only records that changed something", () => {
+    it("are reported only if they change the table", () => {
       const table = new RecordTable();
       table.apply([{ key: "a", offset: 5, value: "new" }], 6);
       expect(table.apply([{ key: "a", offset: 3, value: "old" }], 6))
@@ -46,7 +46,7 @@
   });
 
   describe("snapshots", () => {
-    it("delete keys that they do not name", () => {
+    it("delete keys that they do not contain", () => {
       const table = new RecordTable();
       table.apply([{ key: "gone", offset: 1, value: "x" }], 2);
       table.applySnapshot([{ key: "kept", offset: 4, value: "y" }], 9);
--- a/packages/relay/test/peers/feed-exchange.test.ts
+++ b/packages/relay/test/peers/feed-exchange.test.ts
@@ -5,7 +5,7 @@
 import { FeedExchange } from "../../src/peers/feed-exchange.ts";
 import type { RelayKernel, RelayServices } from "../../src/services.ts";
 
-function createBeat(instances: number): MessageOf<"beat"> {
+function createHeartbeat(instances: number): MessageOf<"beat"> {
   return {
     kind: "beat",
     isServing: true,
@@ -18,7 +18,7 @@
   };
 }
 
-/** An exchange of a node that has read nothing yet. */
+/** Creates the exchange of a node that has read nothing yet. */
 async function create() {
   const clock = new ManualClock();
   const feeds = {
@@ -26,8 +26,8 @@
     currentAges: [] as number[],
     table: (_feed: string) => table,
     ageMs: () => 3,
-    pauseMs: 0,
-    batchDelayMs: () => feeds.pauseMs,
+    delayMs: 0,
+    batchDelayMs: () => feeds.delayMs,
     isReachable: () => feeds.isStoreReachable,
     markUpToDate: (_feed: string, ageMs: number) => {
       feeds.currentAges.push(ageMs);
@@ -46,62 +46,74 @@
 
 describe("FeedExchange", () => {
   describe("a peer that has read more", () => {
-    it("is not asked at once, as the store brings most changes itself", async () => {
+    it("gets no fetch immediately, as the store returns most changes in time", async () => {
       const { clock, exchange } = await create();
-      expect(exchange.compare("n-2", createBeat(9))).toEqual([]);
+      expect(exchange.compareProgress("n-2", createHeartbeat(9))).toEqual([]);
       await clock.advance(250);
-      expect(exchange.compare("n-2", createBeat(9)))
+      expect(exchange.compareProgress("n-2", createHeartbeat(9)))
         .toEqual([{ kind: "fetch", feed: "instances", from: 0 }]);
     });
 
-    it("is not asked while this node keeps up with it", async () => {
+    it("gets no fetch while this node keeps up with it", async () => {
       const { clock, exchange, table } = await create();
       for (let next = 1; next <= 20; next++) {
-        expect(exchange.compare("n-2", createBeat(next))).toEqual([]);
+        expect(exchange.compareProgress("n-2", createHeartbeat(next))).toEqual(
+          [],
+        );
         await clock.advance(150);
         table.apply([], next);
       }
     });
 
-    it("is waited for longer where this node pauses between reads", async () => {
+    it("gets its fetch later if this node delays its reads", async () => {
       const { clock, feeds, exchange } = await create();
-      feeds.pauseMs = 400;
-      exchange.compare("n-2", createBeat(9));
+      feeds.delayMs = 400;
+      exchange.compareProgress("n-2", createHeartbeat(9));
       await clock.advance(450);
-      expect(exchange.compare("n-2", createBeat(9))).toEqual([]);
+      expect(exchange.compareProgress("n-2", createHeartbeat(9))).toEqual([]);
       await clock.advance(200);
-      expect(exchange.compare("n-2", createBeat(9))).toHaveLength(1);
+      expect(exchange.compareProgress("n-2", createHeartbeat(9))).toHaveLength(
+        1,
+      );
     });
 
-    it("is not asked for what another peer was just asked for", async () => {
+    it("gets no fetch for records that were just requested from another peer", async () => {
       const { clock, feeds, exchange } = await create();
       feeds.isStoreReachable = false;
       await clock.advance(200);
-      expect(exchange.compare("n-2", createBeat(9))).toHaveLength(1);
-      expect(exchange.compare("n-3", createBeat(9))).toHaveLength(0);
+      expect(exchange.compareProgress("n-2", createHeartbeat(9))).toHaveLength(
+        1,
+      );
+      expect(exchange.compareProgress("n-3", createHeartbeat(9))).toHaveLength(
+        0,
+      );
       await clock.advance(150);
-      expect(exchange.compare("n-3", createBeat(9))).toHaveLength(1);
+      expect(exchange.compareProgress("n-3", createHeartbeat(9))).toHaveLength(
+        1,
+      );
     });
 
-    it("is asked at once while the store turns this node away", async () => {
+    it("gets a fetch immediately while this node's reads fail", async () => {
       const { feeds, exchange } = await create();
       feeds.isStoreReachable = false;
-      expect(exchange.compare("n-2", createBeat(9))).toHaveLength(1);
+      expect(exchange.compareProgress("n-2", createHeartbeat(9))).toHaveLength(
+        1,
+      );
     });
 
-    it("is waited for anew after its connection has ended", async () => {
+    it("gets no immediate fetch after a reconnect", async () => {
       const { clock, exchange } = await create();
-      exchange.compare("n-2", createBeat(9));
+      exchange.compareProgress("n-2", createHeartbeat(9));
       await clock.advance(250);
-      exchange.forget("n-2");
-      expect(exchange.compare("n-2", createBeat(9))).toEqual([]);
+      exchange.remove("n-2");
+      expect(exchange.compareProgress("n-2", createHeartbeat(9))).toEqual([]);
     });
   });
 
   describe("a peer that has read the same", () => {
-    it("shows how current this node is", async () => {
+    it("confirms that this node is up to date", async () => {
       const { feeds, exchange } = await create();
-      exchange.compare("n-2", createBeat(0));
+      exchange.compareProgress("n-2", createHeartbeat(0));
       expect(feeds.currentAges).toEqual([5, 7]);
     });
   });
--- a/packages/relay/test/peers/idle-timeout.test.ts
+++ b/packages/relay/test/peers/idle-timeout.test.ts
@@ -4,40 +4,40 @@
 
 function start() {
   const clock = new ManualClock();
-  const seen = { calls: 0 };
-  const limit = new IdleTimeout(clock, 900, () => {
-    seen.calls++;
+  const timeouts = { count: 0 };
+  const idleTimeout = new IdleTimeout(clock, 900, () => {
+    timeouts.count++;
   });
-  return { clock, seen, limit };
+  return { clock, timeouts, idleTimeout };
 }
 
 describe("IdleTimeout", () => {
   describe("a silent peer", () => {
-    it("calls once when no message comes, so that a dead peer is dropped", async () => {
-      const { clock, seen } = start();
+    it("causes one call if no message arrives, so that a dead peer is dropped", async () => {
+      const { clock, timeouts } = start();
       await clock.advance(899);
-      expect(seen.calls).toBe(0);
+      expect(timeouts.count).toBe(0);
       await clock.advance(2000);
-      expect(seen.calls).toBe(1);
+      expect(timeouts.count).toBe(1);
     });
 
-    it("counts from the last message", async () => {
-      const { clock, seen, limit } = start();
+    it("is timed from its last message", async () => {
+      const { clock, timeouts, idleTimeout } = start();
       await clock.advance(800);
-      limit.reset(900);
+      idleTimeout.reset(900);
       await clock.advance(899);
-      expect(seen.calls).toBe(0);
+      expect(timeouts.count).toBe(0);
       await clock.advance(1);
-      expect(seen.calls).toBe(1);
+      expect(timeouts.count).toBe(1);
     });
   });
 
-  describe("an ended conversation", () => {
-    it("does not call after its end", async () => {
-      const { clock, seen, limit } = start();
-      limit.cancel();
+  describe("an ended connection", () => {
+    it("causes no call after its end", async () => {
+      const { clock, timeouts, idleTimeout } = start();
+      idleTimeout.cancel();
       await clock.advance(2000);
-      expect(seen.calls).toBe(0);
+      expect(timeouts.count).toBe(0);
     });
   });
 });
--- a/packages/relay/test/peers/instance-updates.test.ts
+++ b/packages/relay/test/peers/instance-updates.test.ts
@@ -6,38 +6,38 @@
 import { InstanceUpdates } from "../../src/peers/instance-updates.ts";
 import type { RelayKernel, RelayServices } from "../../src/services.ts";
 
-type News = MessageOf<"news">;
+type Update = MessageOf<"news">;
 
 function createRecord(key: string, offset: number): KeyRecord {
   return { key, offset, value: `${key} at ${offset}` };
 }
 
-/** A node whose reads and messages the test makes. */
+/** Creates a node whose reads and messages the test supplies. */
 async function create() {
   const clock = new ManualClock();
   const table = new RecordTable();
-  const world = {
+  const env = {
     clock,
     table,
     isHolder: true,
-    told: [] as News[],
-    read: (_news: readonly KeyRecord[], _next: number) => {},
-    hear: (_news: News) => {},
+    sent: [] as Update[],
+    read: (_records: readonly KeyRecord[], _next: number) => {},
+    receive: (_update: Update) => {},
   };
   const instances = {
     onUpdate: (listener: UpdateListener) => {
-      world.read = (news, next) => {
-        table.apply(news, next);
-        listener(news);
+      env.read = (records, next) => {
+        table.apply(records, next);
+        listener(records);
       };
     },
   };
   const mesh = {
-    onMessage: (_kind: string, listener: (news: News) => void) => {
-      world.hear = listener;
+    onMessage: (_kind: string, listener: (update: Update) => void) => {
+      env.receive = listener;
     },
-    broadcast: (message: News) => {
-      world.told.push(message);
+    broadcast: (message: Update) => {
+      env.sent.push(message);
     },
   };
   const feeds = {
@@ -58,22 +58,22 @@
       () =>
         ({
           get isHolder() {
-            return world.isHolder;
+            return env.isHolder;
           },
         }) as never,
     );
   await kernel.start();
   new InstanceUpdates(kernel);
-  return world;
+  return env;
 }
 
 describe("InstanceUpdates", () => {
   describe("the holder of placement", () => {
-    it("tells what is new at once, and between which offsets", async () => {
-      const world = await create();
-      world.read([], 10);
-      world.read([createRecord("i-1", 12)], 14);
-      expect(world.told).toEqual([
+    it("sends changes immediately, with the range of offsets that they cover", async () => {
+      const env = await create();
+      env.read([], 10);
+      env.read([createRecord("i-1", 12)], 14);
+      expect(env.sent).toEqual([
         {
           kind: "news",
           from: 10,
@@ -83,54 +83,54 @@
       ]);
     });
 
-    it("does not vouch for what it read before it held placement", async () => {
-      const world = await create();
-      world.isHolder = false;
-      world.read([createRecord("i-1", 3)], 4);
-      world.isHolder = true;
-      world.read([createRecord("i-2", 5)], 6);
-      expect(world.told).toEqual([]);
-      world.read([createRecord("i-3", 7)], 8);
-      expect(world.told).toMatchObject([{ from: 6, next: 8 }]);
+    it("sends no range that it read before it held placement", async () => {
+      const env = await create();
+      env.isHolder = false;
+      env.read([createRecord("i-1", 3)], 4);
+      env.isHolder = true;
+      env.read([createRecord("i-2", 5)], 6);
+      expect(env.sent).toEqual([]);
+      env.read([createRecord("i-3", 7)], 8);
+      expect(env.sent).toMatchObject([{ from: 6, next: 8 }]);
     });
 
-    it("tells how far it has read now and then, so that peers need not ask", async () => {
-      const world = await create();
-      world.read([], 10);
+    it("sends its offset regularly, so that peers need not fetch records", async () => {
+      const env = await create();
+      env.read([], 10);
       for (let next = 11; next <= 30; next++) {
-        await world.clock.advance(100);
-        world.read([], next);
+        await env.clock.advance(100);
+        env.read([], next);
       }
-      expect(world.told).toHaveLength(5);
-      expect(world.told.at(-1)).toMatchObject({ records: [], next: 30 });
+      expect(env.sent).toHaveLength(5);
+      expect(env.sent.at(-1)).toMatchObject({ records: [], next: 30 });
     });
 
-    it("leaves no gap when renewals came in between", async () => {
-      const world = await create();
-      world.read([], 10);
-      world.read([], 20);
-      world.read([createRecord("i-1", 25)], 30);
-      expect(world.told).toMatchObject([{ from: 10, next: 30 }]);
+    it("leaves no gap between updates when it reads only renewals", async () => {
+      const env = await create();
+      env.read([], 10);
+      env.read([], 20);
+      env.read([createRecord("i-1", 25)], 30);
+      expect(env.sent).toMatchObject([{ from: 10, next: 30 }]);
     });
   });
 
   describe("its peers", () => {
-    it("take news that follow what they know", async () => {
-      const world = await create();
-      world.table.apply([], 10);
+    it("apply an update that follows what they have read", async () => {
+      const env = await create();
+      env.table.apply([], 10);
       const records = [createRecord("i-1", 11)];
-      world.hear({ kind: "news", from: 8, next: 12, records });
-      expect(world.table.next).toBe(12);
-      expect(world.table.list()).toEqual(records);
+      env.receive({ kind: "news", from: 8, next: 12, records });
+      expect(env.table.next).toBe(12);
+      expect(env.table.list()).toEqual(records);
     });
 
-    it("take none after a gap, as a change in the gap would be missed", async () => {
-      const world = await create();
-      world.table.apply([], 10);
+    it("ignore an update after a gap, as a change in the gap would be missed", async () => {
+      const env = await create();
+      env.table.apply([], 10);
       const records = [createRecord("i-1", 12)];
-      world.hear({ kind: "news", from: 11, next: 13, records });
-      expect(world.table.next).toBe(10);
-      expect(world.table.list()).toEqual([]);
+      env.receive({ kind: "news", from: 11, next: 13, records });
+      expect(env.table.next).toBe(10);
+      expect(env.table.list()).toEqual([]);
     });
   });
 });
