--- a/packages/kernel/src/tasks.ts
+++ b/packages/kernel/src/tasks.ts
@@ -7,12 +7,12 @@
 import type { Clock } from "./clock.ts";
 import type { Logger } from "./logger.ts";
 
-/** The reason given to tasks when their owner stops. */
+/** The abort reason of tasks whose owner stops. */
 export class StoppedError extends Error {
   override name = "StoppedError";
 }
 
-/** The body of a task: reads from top to bottom until its signal aborts. */
+/** The body of a task: sequential code that runs until its signal aborts. */
 export type TaskBody = (signal: AbortSignal) => Promise<void>;
 
 /** The tasks of one service; they end together. */
@@ -25,8 +25,8 @@
   constructor(clock: Clock, logger: Logger) {
     this.#clock = clock;
     this.#logger = logger;
-    // Every wait of every task listens on this signal, so no count of
-    // listeners is a sign of a leak.
+    // Every wait of every task listens to this signal, so many listeners are
+    // no sign of a leak.
     setMaxListeners(0, this.#controller.signal);
   }
 
@@ -42,7 +42,7 @@
 
   /** Runs a task once; a failure is logged and ends only that task. */
   run(name: string, body: TaskBody): Promise<void> {
-    const task = this.#guard(name, body).finally(() => {
+    const task = this.#runAndLogFailure(name, body).finally(() => {
       this.#tasks.delete(task);
     });
     this.#tasks.add(task);
@@ -53,7 +53,7 @@
   repeat(name: string, pauseMs: number, body: TaskBody): Promise<void> {
     return this.run(name, async (signal) => {
       while (!signal.aborted) {
-        await this.#guard(name, body);
+        await this.#runAndLogFailure(name, body);
         await this.#clock.sleep(pauseMs, signal);
       }
     });
@@ -61,11 +61,11 @@
 
   /** Aborts every task and waits until all have ended. */
   async stop(): Promise<void> {
-    this.#controller.abort(new StoppedError("the service stops"));
+    this.#controller.abort(new StoppedError("the service is stopping"));
     await Promise.allSettled([...this.#tasks]);
   }
 
-  async #guard(name: string, body: TaskBody): Promise<void> {
+  async #runAndLogFailure(name: string, body: TaskBody): Promise<void> {
     try {
       await body(this.signal);
     } catch (failure) {
@@ -79,7 +79,7 @@
   }
 }
 
-/** Describes anything that was thrown in one line of text. */
+/** Describes any thrown value in one line of text. */
 export function describeError(failure: unknown): string {
   return failure instanceof Error
     ? `${failure.name}: ${failure.message}`
--- a/packages/kernel/test/logger.test.ts
+++ b/packages/kernel/test/logger.test.ts
@@ -24,13 +24,13 @@
 
 afterEach(() => rmSync(folder, { recursive: true }));
 
-async function settle(): Promise<void> {
+async function waitForWrites(): Promise<void> {
   await new SystemClock().sleep(100);
 }
 
 describe("LineLogger", () => {
   describe("volume", () => {
-    it("leaves out lines of one event beyond the bound and says how many", async () => {
+    it("leaves out lines of one event over the limit and logs how many", async () => {
       const file = join(folder, "log");
       const descriptor = openSync(file, "w");
       const clock = new ManualClock();
@@ -46,7 +46,7 @@
       logger.info("other");
       await clock.advance(2000);
       logger.info("later");
-      await settle();
+      await waitForWrites();
       closeSync(descriptor);
       const lines = readFileSync(file, "utf8").trim().split("\n");
       expect(lines.filter((line) => line.includes("event=flood")).length)
@@ -61,24 +61,24 @@
   });
 
   describe("a reader that stalls", () => {
-    it("does not hold the process up", async () => {
+    it("does not block the process", async () => {
       const pipe = join(folder, "pipe");
       spawnSync("mkfifo", [pipe]);
-      // Opened for both directions, so that nothing reads and nothing blocks.
+      // Opening for reading and writing does not block, and nothing reads.
       const descriptor = openSync(pipe, "r+");
       const sink = new BoundedSink(descriptor, 100_000);
       const clock = new SystemClock();
-      const began = clock.now();
+      const startedAt = clock.now();
       for (let line = 0; line < 10_000; line++) {
         sink.write(`${"x".repeat(100)}\n`);
       }
-      expect(clock.now() - began).toBeLessThan(2000);
-      await settle();
+      expect(clock.now() - startedAt).toBeLessThan(2000);
+      await waitForWrites();
       expect(sink.droppedLines).toBeGreaterThan(5000);
-      // Reading the pipe lets the write that still waits end.
+      // Reading the pipe completes the pending write.
       const drain = spawnSync("head", ["-c", "60000", pipe]);
       expect(drain.stdout.length).toBeGreaterThan(0);
-      await settle();
+      await waitForWrites();
       closeSync(descriptor);
     });
   });
--- a/packages/schema/src/settings.ts
+++ b/packages/schema/src/settings.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of a node: an INI file that is checked before the node starts.
+ * Settings of a node: an INI file that is validated before the node starts.
  *
  * @module
  */
@@ -42,7 +42,7 @@
     "lookup-validity": Duration.default(5000),
     "stream-progress": Duration.default(2000),
     "call-deadline": Duration.default(10_000),
-    // Longer than the longest request, so that a planned stop cuts none.
+    // Longer than the longest request, so that a graceful shutdown cuts none.
     "stop-bound": Duration.default(2_700_000),
     "checkpoint-interval": Duration.default(60_000),
   }).prefault({}),
@@ -63,7 +63,7 @@
 /** All settings of a node, by section and key. */
 export type Settings = z.infer<typeof Settings>;
 
-/** One mistake in a settings file. */
+/** One error in a settings file. */
 export interface SettingsFault {
   readonly file: string;
   readonly line: number | undefined;
@@ -72,7 +72,7 @@
   readonly message: string;
 }
 
-/** Reads a settings file; reports every fault with its place. */
+/** Parses a settings file; reports every fault with its location. */
 export function parseSettings(
   file: string,
   text: string,
@@ -80,7 +80,7 @@
   const parsed = Settings.safeParse(parse(text));
   const issues = parsed.error?.issues ?? [];
   const faults = [
-    ...findRepeatedKeys(file, text),
+    ...findDuplicateKeys(file, text),
     ...issues.flatMap((issue) => createFaults(file, text, issue)),
   ];
   return parsed.success && faults.length === 0
@@ -90,11 +90,11 @@
 
 /** Describes a fault in one line. */
 export function describeSettingsFault(fault: SettingsFault): string {
-  const place = fault.line === undefined
+  const location = fault.line === undefined
     ? fault.file
     : `${fault.file}:${fault.line}`;
   const key = fault.key === "" ? "" : ` ${fault.key}`;
-  return `${place}: [${fault.section}]${key}: ${fault.message}`;
+  return `${location}: [${fault.section}]${key}: ${fault.message}`;
 }
 
 function createFaults(
@@ -111,8 +111,8 @@
     const [section, key] = issue.path.length === 0
       ? [unknownKey, ""]
       : [String(issue.path[0]), unknownKey];
-    const what = key === "" ? "unknown section" : "unknown key";
-    return createFault(file, text, section, key, what);
+    const message = key === "" ? "unknown section" : "unknown key";
+    return createFault(file, text, section, key, message);
   });
 }
 
@@ -121,24 +121,24 @@
   return isMissing ? "missing; expected a value" : issue.message;
 }
 
-/** The INI library takes the last of two values, which hides a mistake. */
-function findRepeatedKeys(file: string, text: string): SettingsFault[] {
+/** The INI library keeps the last of two values, which would hide an error. */
+function findDuplicateKeys(file: string, text: string): SettingsFault[] {
   const seen = new Set<string>();
   const faults: SettingsFault[] = [];
   let section = "";
   for (const [index, source] of text.split(/\r?\n/).entries()) {
-    const header = source.trim().match(/^\[(.*)\]$/);
-    section = header?.[1] ?? section;
+    const sectionHeader = source.trim().match(/^\[(.*)\]$/);
+    section = sectionHeader?.[1] ?? section;
     const key = source.match(/^\s*([^;#=\s[][^=]*?)\s*=/)?.[1];
     if (key === undefined) {
       continue;
     }
-    const name = `${section} ${key}`;
-    if (seen.has(name)) {
-      const message = "given twice";
+    const qualifiedKey = `${section} ${key}`;
+    if (seen.has(qualifiedKey)) {
+      const message = "duplicate key";
       faults.push({ file, line: index + 1, section, key, message });
     }
-    seen.add(name);
+    seen.add(qualifiedKey);
   }
   return faults;
 }
@@ -166,9 +166,11 @@
   if (key === "") {
     return start + 1;
   }
-  const rest = lines.slice(start + 1);
-  const end = rest.findIndex((line) => line.startsWith("["));
-  const body = end < 0 ? rest : rest.slice(0, end);
-  const index = body.findIndex((line) => line.split("=")[0]?.trim() === key);
+  const followingLines = lines.slice(start + 1);
+  const end = followingLines.findIndex((line) => line.startsWith("["));
+  const sectionLines = end < 0 ? followingLines : followingLines.slice(0, end);
+  const index = sectionLines.findIndex((line) =>
+    line.split("=")[0]?.trim() === key
+  );
   return index < 0 ? start + 1 : start + index + 2;
 }
