--- a/packages/cli/src/commands/administration-command.ts
+++ b/packages/cli/src/commands/administration-command.ts
@@ -7,7 +7,7 @@
 import { Command, Option, UsageError } from "clipanion";
 import type { Result } from "true-myth";
 import type { z } from "zod";
-import { type CallFault, callNode } from "../connection.ts";
+import { type CallError, callNode } from "../node-call.ts";
 import { ExitCode } from "../exit-code.ts";
 
 /** Environment variable that holds the administration token. */
@@ -19,13 +19,13 @@
 } as const;
 
 /** Writes a fault and returns the exit code for it. */
-export function reportFault(command: Command, fault: CallFault): ExitCode {
+export function reportCallError(command: Command, fault: CallError): ExitCode {
   command.context.stderr.write(`zinniahill: ${fault.message}\n`);
   return EXIT_CODES[fault.kind];
 }
 
 /** Reads a file that the command line names. */
-export function readNamedFile(path: string): string {
+export function readInputFile(path: string): string {
   try {
     return readFileSync(path, "utf8");
   } catch {
@@ -34,7 +34,7 @@
 }
 
 /** Reads a whole number that the command line gives. */
-export function readCount(option: string, text: string): number {
+export function parseCount(option: string, text: string): number {
   if (!/^\d+$/.test(text)) {
     throw new UsageError(`${option}: expected a whole number, found "${text}"`);
   }
@@ -54,7 +54,7 @@
     path: string,
     schema: z.ZodType<Reply>,
     body?: unknown,
-  ): Promise<Result<Reply, CallFault>> {
+  ): Promise<Result<Reply, CallError>> {
     const token = this.context.env[TOKEN_VARIABLE] ?? "";
     const address = this.admin;
     return callNode({ address, token, method, path, schema, body });
--- a/packages/cli/src/commands/check.ts
+++ b/packages/cli/src/commands/check.ts
@@ -6,7 +6,7 @@
 import { parseRules } from "@zinniahill/schema";
 import { Command, Option } from "clipanion";
 import { ExitCode } from "../exit-code.ts";
-import { readNamedFile } from "./administration-command.ts";
+import { readInputFile } from "./administration-command.ts";
 
 /** Checks a rules file; needs no node. */
 export class CheckCommand extends Command {
@@ -20,7 +20,7 @@
   file = Option.String();
 
   override execute(): Promise<ExitCode> {
-    const exitCode = parseRules(readNamedFile(this.file)).match({
+    const exitCode = parseRules(readInputFile(this.file)).match({
       Ok: ({ lines }) => {
         this.context.stdout.write(`${this.file}: ${lines.length} rules\n`);
         return ExitCode.success;
--- a/packages/cli/src/commands/drain.ts
+++ b/packages/cli/src/commands/drain.ts
@@ -8,7 +8,7 @@
 import { ExitCode } from "../exit-code.ts";
 import {
   AdministrationCommand,
-  reportFault,
+  reportCallError,
 } from "./administration-command.ts";
 
 /** Takes a host out of service, or gives it back. */
@@ -52,7 +52,7 @@
         this.print(`host ${this.host} ${what}`);
         return ExitCode.success;
       },
-      Err: (fault) => reportFault(this, fault),
+      Err: (fault) => reportCallError(this, fault),
     });
   }
 }
@@ -74,7 +74,7 @@
         this.print(`the node at ${this.admin} is stopping`);
         return ExitCode.success;
       },
-      Err: (fault) => reportFault(this, fault),
+      Err: (fault) => reportCallError(this, fault),
     });
   }
 }
--- a/packages/cli/src/commands/dump.ts
+++ b/packages/cli/src/commands/dump.ts
@@ -8,7 +8,7 @@
 import { ExitCode } from "../exit-code.ts";
 import {
   AdministrationCommand,
-  reportFault,
+  reportCallError,
 } from "./administration-command.ts";
 
 const INDENT = 2;
@@ -28,7 +28,7 @@
         this.print(JSON.stringify(state, null, INDENT));
         return ExitCode.success;
       },
-      Err: (fault) => reportFault(this, fault),
+      Err: (fault) => reportCallError(this, fault),
     });
   }
 }
--- a/packages/cli/src/commands/explain.ts
+++ b/packages/cli/src/commands/explain.ts
@@ -7,7 +7,7 @@
 import { ExitCode } from "../exit-code.ts";
 import { explainRequest } from "../explanation.ts";
 import { type LogLine, parseLogLine } from "../log-line.ts";
-import { readNamedFile } from "./administration-command.ts";
+import { readInputFile } from "./administration-command.ts";
 
 /** Explains one request; needs no node. */
 export class ExplainCommand extends Command {
@@ -39,7 +39,7 @@
 
   #readLines(file: string): LogLine[] {
     const lines: LogLine[] = [];
-    readNamedFile(file).split("\n").forEach((text, index) => {
+    readInputFile(file).split("\n").forEach((text, index) => {
       if (text.trim() === "") {
         return;
       }
--- a/packages/cli/src/commands/groups.ts
+++ b/packages/cli/src/commands/groups.ts
@@ -9,7 +9,7 @@
 import { ExitCode } from "../exit-code.ts";
 import {
   AdministrationCommand,
-  reportFault,
+  reportCallError,
 } from "./administration-command.ts";
 
 const GroupList = z.object({
@@ -31,7 +31,7 @@
         groups.forEach((group) => this.#printGroup(group));
         return ExitCode.success;
       },
-      Err: (fault) => reportFault(this, fault),
+      Err: (fault) => reportCallError(this, fault),
     });
   }
 
--- a/packages/cli/src/commands/lookup.ts
+++ b/packages/cli/src/commands/lookup.ts
@@ -5,9 +5,9 @@
  */
 import { LookupReply } from "@zinniahill/schema";
 import { Command, Option } from "clipanion";
-import { callNode } from "../connection.ts";
+import { callNode } from "../node-call.ts";
 import { ExitCode } from "../exit-code.ts";
-import { reportFault } from "./administration-command.ts";
+import { reportCallError } from "./administration-command.ts";
 
 /** Asks any node which address to use. */
 export class LookupCommand extends Command {
@@ -49,7 +49,7 @@
         );
         return ExitCode.success;
       },
-      Err: (fault) => reportFault(this, fault),
+      Err: (fault) => reportCallError(this, fault),
     });
   }
 }
--- a/packages/cli/src/commands/publish.ts
+++ b/packages/cli/src/commands/publish.ts
@@ -6,13 +6,13 @@
 import { parseRules } from "@zinniahill/schema";
 import { Command, Option } from "clipanion";
 import * as z from "zod";
-import type { CallFault } from "../connection.ts";
+import type { CallError } from "../node-call.ts";
 import { ExitCode } from "../exit-code.ts";
 import {
   AdministrationCommand,
-  readCount,
-  readNamedFile,
-  reportFault,
+  parseCount,
+  readInputFile,
+  reportCallError,
 } from "./administration-command.ts";
 
 const Accepted = z.object({ version: z.number() });
@@ -51,8 +51,8 @@
   });
 
   override async execute(): Promise<ExitCode> {
-    const basis = readCount("--from", this.from);
-    const text = readNamedFile(this.file).replace(SHOWN_HEADER, "");
+    const basis = parseCount("--from", this.from);
+    const text = readInputFile(this.file).replace(SHOWN_HEADER, "");
     const faults = parseRules(text).match({ Ok: () => [], Err: (all) => all });
     for (const { line, message } of faults) {
       this.context.stderr.write(`${this.file}:${line}: ${message}\n`);
@@ -74,14 +74,14 @@
     });
   }
 
-  #reportConflict(fault: CallFault): ExitCode {
+  #reportConflict(fault: CallError): ExitCode {
     const conflict = Conflict.safeParse(
       fault.kind === "refused" && fault.status === CONFLICT_STATUS
         ? fault.body
         : undefined,
     );
     if (!conflict.success) {
-      return reportFault(this, fault);
+      return reportCallError(this, fault);
     }
     const { version, text } = conflict.data;
     this.context.stderr.write(
--- a/packages/cli/src/commands/send.ts
+++ b/packages/cli/src/commands/send.ts
@@ -8,7 +8,7 @@
 import { request } from "undici";
 import * as z from "zod";
 import { ExitCode } from "../exit-code.ts";
-import { readCount } from "./administration-command.ts";
+import { parseCount } from "./administration-command.ts";
 
 /** Environment variable that holds a client account's API key. */
 export const API_KEY_VARIABLE = "ZINNIAHILL_API_KEY";
@@ -55,7 +55,7 @@
   });
 
   override async execute(): Promise<ExitCode> {
-    const maxTokens = readCount("--max-tokens", this.maxTokens);
+    const maxTokens = parseCount("--max-tokens", this.maxTokens);
     try {
       return await this.#stream(maxTokens);
     } catch (failure) {
--- a/packages/cli/src/commands/show.ts
+++ b/packages/cli/src/commands/show.ts
@@ -8,7 +8,7 @@
 import { ExitCode } from "../exit-code.ts";
 import {
   AdministrationCommand,
-  reportFault,
+  reportCallError,
 } from "./administration-command.ts";
 
 /** Prints the rules in force, with their comments. */
@@ -33,7 +33,7 @@
         this.context.stdout.write(text);
         return ExitCode.success;
       },
-      Err: (fault) => reportFault(this, fault),
+      Err: (fault) => reportCallError(this, fault),
     });
   }
 }
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -7,12 +7,12 @@
 import { Command, Option } from "clipanion";
 import type { Result } from "true-myth";
 import * as z from "zod";
-import type { CallFault } from "../connection.ts";
+import type { CallError } from "../node-call.ts";
 import { ExitCode } from "../exit-code.ts";
 import {
   AdministrationCommand,
-  readCount,
-  reportFault,
+  parseCount,
+  reportCallError,
 } from "./administration-command.ts";
 
 const NodeStatus = z.object({
@@ -56,9 +56,11 @@
   });
 
   override async execute(): Promise<ExitCode> {
-    const wanted = this.wait === undefined ? 0 : readCount("--wait", this.wait);
-    const nodes = readCount("--nodes", this.nodes);
-    const limitMs = readCount("--timeout", this.timeout) * MS_PER_SECOND;
+    const wanted = this.wait === undefined
+      ? 0
+      : parseCount("--wait", this.wait);
+    const nodes = parseCount("--nodes", this.nodes);
+    const limitMs = parseCount("--timeout", this.timeout) * MS_PER_SECOND;
     for (let waitedMs = 0;; waitedMs += POLL_INTERVAL_MS) {
       const reply = await this.#read();
       const isMet = this.wait === undefined ||
@@ -70,17 +72,17 @@
     }
   }
 
-  async #read(): Promise<Result<readonly NodeStatus[], CallFault>> {
+  async #read(): Promise<Result<readonly NodeStatus[], CallError>> {
     const reply = await this.call("GET", "/admin/status", Status);
     return reply.map(({ peers, ...own }) => [own, ...peers]);
   }
 
   #report(
-    reply: Result<readonly NodeStatus[], CallFault>,
+    reply: Result<readonly NodeStatus[], CallError>,
     isMet: boolean,
   ): ExitCode {
     if (reply.isErr) {
-      return reportFault(this, reply.error);
+      return reportCallError(this, reply.error);
     }
     for (const { node, version, logReachable, stopping } of reply.value) {
       this.print(
--- a/packages/cli/src/explanation.ts
+++ b/packages/cli/src/explanation.ts
@@ -102,7 +102,7 @@
 ): Explanation {
   const lines = all
     .filter(({ fields }) => fields.get("request") === id)
-    .sort((a, b) => a.at - b.at);
+    .sort((a, b) => a.timestampMs - b.timestampMs);
   const findings = lines.map((line) => {
     const find = FINDERS[line.event] ?? (({ event }: LogLine) => event);
     return `${line.time} ${line.node}: ${find(line)}`;
@@ -120,7 +120,8 @@
     return [];
   }
   const total = Number(last.fields.get("total_ms") ?? 0);
-  const begin = Math.min(first.at, last.at - total) - BEFORE_MS;
+  const begin = Math.min(first.timestampMs, last.timestampMs - total) -
+    BEFORE_MS;
   const subjects = new Set(
     lines.flatMap(({ fields }) =>
       SUBJECT_FIELDS.map((field) => fields.get(field))
@@ -135,10 +136,10 @@
     });
   return all
     .filter((line) =>
-      CONTEXT_EVENTS.has(line.event) && line.at >= begin &&
-      line.at <= last.at + AFTER_MS && isAbout(line)
+      CONTEXT_EVENTS.has(line.event) && line.timestampMs >= begin &&
+      line.timestampMs <= last.timestampMs + AFTER_MS && isAbout(line)
     )
-    .sort((a, b) => a.at - b.at);
+    .sort((a, b) => a.timestampMs - b.timestampMs);
 }
 
 /** How full the node took the upstream for, and how full it was. */
--- a/packages/cli/src/log-line.ts
+++ b/packages/cli/src/log-line.ts
@@ -8,7 +8,7 @@
 /** One event as a node logged it. */
 export interface LogLine {
   /** Milliseconds since 1970-01-01T00:00:00Z. */
-  readonly at: number;
+  readonly timestampMs: number;
   readonly time: string;
   readonly node: string;
   readonly event: string;
@@ -26,25 +26,31 @@
   }
   const fields = new Map<string, string>();
   const line = text.slice(begin.index).trim();
-  for (let at = 0; at < line.length;) {
-    PAIR.lastIndex = at;
+  for (let offset = 0; offset < line.length;) {
+    PAIR.lastIndex = offset;
     const pair = PAIR.exec(line);
     if (pair === null) {
-      return Result.err(`damaged after ${at} characters`);
+      return Result.err(`damaged after ${offset} characters`);
     }
     const value = unquote(pair[2]!);
     if (value.isErr) {
       return Result.err(value.error);
     }
     fields.set(pair[1]!, value.value);
-    at = PAIR.lastIndex + 1;
+    offset = PAIR.lastIndex + 1;
   }
   const time = fields.get("time") ?? "";
-  const at = Date.parse(time);
+  const timestampMs = Date.parse(time);
   const event = fields.get("event");
-  return event === undefined || Number.isNaN(at)
+  return event === undefined || Number.isNaN(timestampMs)
     ? Result.err("a line without a time or an event")
-    : Result.ok({ at, time, node: fields.get("node") ?? "", event, fields });
+    : Result.ok({
+      timestampMs,
+      time,
+      node: fields.get("node") ?? "",
+      event,
+      fields,
+    });
 }
 
 function unquote(text: string): Result<string, string> {
--- a/packages/cli/src/connection.ts
+++ b/packages/cli/src/node-call.ts
@@ -19,7 +19,7 @@
 }
 
 /** Why a call gave no usable reply. */
-export type CallFault =
+export type CallError =
   | { readonly kind: "unreachable"; readonly message: string }
   | {
     readonly kind: "refused";
@@ -29,7 +29,7 @@
   };
 
 /** The documented form of a refusal. */
-const RefusalReply = z.object({
+const RefusalBody = z.object({
   error: z.object({
     code: z.string(),
     message: z.string(),
@@ -43,7 +43,7 @@
 /** Makes one call and checks the reply against its schema. */
 export async function callNode<Reply>(
   call: NodeCall<Reply>,
-): Promise<Result<Reply, CallFault>> {
+): Promise<Result<Reply, CallError>> {
   const { address, token } = call;
   try {
     const reply = await request(`http://${address}${call.path}`, {
@@ -57,12 +57,12 @@
     });
     const body: unknown = await reply.body.json();
     if (reply.statusCode !== OK_STATUS) {
-      return Result.err(createRefusedFault(reply.statusCode, body));
+      return Result.err(createResponseError(reply.statusCode, body));
     }
     const parsed = call.schema.safeParse(body);
     return parsed.success
       ? Result.ok(parsed.data)
-      : Result.err(createRefusedFault(reply.statusCode, body));
+      : Result.err(createResponseError(reply.statusCode, body));
   } catch (failure) {
     const message = failure instanceof Error ? failure.message : "failed";
     return Result.err({
@@ -72,14 +72,14 @@
   }
 }
 
-function createRefusedFault(status: number, body: unknown): CallFault {
-  const refusal = RefusalReply.safeParse(body);
+function createResponseError(status: number, body: unknown): CallError {
+  const refusal = RefusalBody.safeParse(body);
   const message = refusal.success
     ? describeRefusal(refusal.data)
     : `unexpected reply with status ${status}`;
   return { kind: "refused", status, message, body };
 }
 
-function describeRefusal({ error }: z.infer<typeof RefusalReply>): string {
+function describeRefusal({ error }: z.infer<typeof RefusalBody>): string {
   return `${error.code}: ${error.message} (verdict ${error.verdict})`;
 }
