--- a/bench/src/matrix/mechanisms.ts
+++ b/bench/src/matrix/mechanisms.ts
@@ -4,7 +4,12 @@
  * @module
  */
 import { Buffer } from "node:buffer";
-import type { Engines, EngineStream, Log, Stream } from "@zinniahill/clients";
+import type {
+  Engines,
+  EngineStream,
+  Log,
+  LogStream,
+} from "@zinniahill/clients";
 import type { EngineStatus, LogEntry } from "@zinniahill/schema";
 import type { MemoryClients } from "@zinniahill/stand-ins";
 import { Result } from "true-myth";
@@ -142,7 +147,7 @@
 }
 
 function createPrivateLog(log: Log): Log {
-  const own: Record<Stream, LogEntry[]> = { control: [], calls: [] };
+  const own: Record<LogStream, LogEntry[]> = { control: [], calls: [] };
   return {
     append: async (stream, records, signal) => {
       const appended = await log.append(stream, records, signal);
@@ -217,7 +222,7 @@
     }
   }
   return {
-    request: stream.request,
+    requestId: stream.requestId,
     chunks: read(),
     close: () => stream.close(),
   };
--- a/bench/src/matrix/memory-node.ts
+++ b/bench/src/matrix/memory-node.ts
@@ -203,14 +203,14 @@
       ...clients,
       engines: {
         ...engines,
-        order: async (address, order, timeoutMs, signal) => {
+        sendOrder: async (address, order, timeoutMs, signal) => {
           if (this.orderDelayMs === 0) {
-            return engines.order(address, order, timeoutMs, signal);
+            return engines.sendOrder(address, order, timeoutMs, signal);
           }
           await this.#world.clock.sleep(this.orderDelayMs);
           // What was sent arrives, whether or not its sender still waits.
           const { signal: unbound } = new AbortController();
-          return engines.order(address, order, timeoutMs, unbound);
+          return engines.sendOrder(address, order, timeoutMs, unbound);
         },
       },
     };
--- a/bench/src/matrix/process-clients.ts
+++ b/bench/src/matrix/process-clients.ts
@@ -63,7 +63,7 @@
   const begin = createBegin(clock);
   return {
     probe: (...call) => begin(() => engines.probe(...call)),
-    order: (...call) => begin(() => engines.order(...call)),
+    sendOrder: (...call) => begin(() => engines.sendOrder(...call)),
     cancel: (...call) => begin(() => engines.cancel(...call)),
     readCacheEvents: (...call) => begin(() => engines.readCacheEvents(...call)),
     generate: async (...call) => {
@@ -77,7 +77,7 @@
 
 function bindStream(stream: EngineStream, clock: PausableClock): EngineStream {
   return {
-    request: stream.request,
+    requestId: stream.requestId,
     chunks: holdChunks(stream.chunks, clock),
     close: () => {
       if (!clock.isEnded) {
--- a/bench/src/token-rate.ts
+++ b/bench/src/token-rate.ts
@@ -7,7 +7,7 @@
 import { Buffer } from "node:buffer";
 import { SystemClock } from "@zinniahill/kernel";
 import { Progress, runAttempt } from "@zinniahill/node";
-import { type Engines, TokenSplitter } from "@zinniahill/clients";
+import { type Engines, TokenEventSplitter } from "@zinniahill/clients";
 import { Result } from "true-myth";
 
 const TOKENS = 300_000;
@@ -45,12 +45,12 @@
   const unused = () => Promise.reject(new Error("not used"));
   return {
     probe: unused,
-    order: unused,
+    sendOrder: unused,
     cancel: unused,
     readCacheEvents: unused,
     generate: () =>
       Promise.resolve(Result.ok({
-        request: REQUEST,
+        requestId: REQUEST,
         chunks: (async function* () {
           yield* chunks;
         })(),
@@ -76,7 +76,7 @@
         priority: 0,
         offset: 0,
       },
-      newConnection: false,
+      usesNewConnection: false,
       firstTokenMs: 10_000,
       tokenGapMs: 2000,
       deadline: clock.now() + 60_000,
@@ -95,9 +95,9 @@
   const startedAt = clock.now();
   let tokens = 0;
   while (tokens < TOKENS) {
-    const splitter = new TokenSplitter();
+    const splitter = new TokenEventSplitter();
     for (const chunk of chunks) {
-      tokens += splitter.push(chunk).indices.length;
+      tokens += splitter.push(chunk).tokenIndices.length;
     }
   }
   return tokens / (clock.now() - startedAt) * MS_PER_SECOND;
--- a/packages/clients/src/engines.ts
+++ b/packages/clients/src/engines.ts
@@ -15,12 +15,12 @@
 import * as z from "zod";
 import { createFault, type Fault } from "./fault.ts";
 import { callJson } from "./http.ts";
-import { Traffic } from "./traffic.ts";
+import { TrafficCounter } from "./traffic-counter.ts";
 
 /** A stream of server-sent events from the lead of a group. */
 export interface EngineStream {
   /** The request id as the engine repeated it. */
-  readonly request: string;
+  readonly requestId: string;
   readonly chunks: AsyncIterable<Uint8Array>;
   /** Closes the connection. */
   close(): void;
@@ -35,7 +35,7 @@
     signal?: AbortSignal,
   ): Promise<Result<EngineStatus, Fault>>;
   /** Gives an order. */
-  order(
+  sendOrder(
     address: string,
     order: EngineOrder,
     timeoutMs: number,
@@ -62,7 +62,7 @@
   /** How long the engine may take to answer with its headers. */
   readonly timeoutMs: number;
   /** Whether a new connection must be used. */
-  readonly newConnection: boolean;
+  readonly usesNewConnection: boolean;
   readonly signal?: AbortSignal;
 }
 
@@ -87,7 +87,7 @@
   /** Probes and orders never share a connection with a stream. */
   #control: Agent;
 
-  constructor(clock: Clock, traffic: Traffic = new Traffic()) {
+  constructor(clock: Clock, traffic: TrafficCounter = new TrafficCounter()) {
     this.#clock = clock;
     this.#streams = traffic.createAgent("streams", UNLIMITED);
     this.#newConnections = traffic.createAgent("streams", {
@@ -120,7 +120,7 @@
     });
   }
 
-  order(
+  sendOrder(
     address: string,
     order: EngineOrder,
     timeoutMs: number,
@@ -156,7 +156,7 @@
         options.signal,
         async () => {
           const reply = await request(`http://${address}/generate`, {
-            dispatcher: options.newConnection
+            dispatcher: options.usesNewConnection
               ? this.#newConnections
               : this.#streams,
             method: "POST",
@@ -221,7 +221,7 @@
     });
   }
   return Result.ok({
-    request: String(reply.headers["x-request"] ?? ""),
+    requestId: String(reply.headers["x-request"] ?? ""),
     chunks: reply.body,
     close,
   });
--- a/packages/clients/src/host-list.ts
+++ b/packages/clients/src/host-list.ts
@@ -10,7 +10,7 @@
 import type { z } from "zod";
 import type { Fault } from "./fault.ts";
 import { callJson, type ReplyCache } from "./http.ts";
-import { Traffic } from "./traffic.ts";
+import { TrafficCounter } from "./traffic-counter.ts";
 
 /** The platform's list of live and leaving hosts. */
 export interface HostList extends Service {
@@ -31,7 +31,7 @@
   constructor(
     clock: Clock,
     address: string,
-    traffic: Traffic = new Traffic(),
+    traffic: TrafficCounter = new TrafficCounter(),
   ) {
     this.#clock = clock;
     this.#address = address;
--- a/packages/clients/src/index.ts
+++ b/packages/clients/src/index.ts
@@ -16,8 +16,8 @@
   type Log,
   LogClient,
   type LogOptions,
-  type ReadRange,
-  type Stream,
+  type LogReadOptions,
+  type LogStream,
 } from "./log.ts";
 export {
   type PeerConnection,
@@ -25,19 +25,23 @@
   WebSocketTransport,
 } from "./peer-transport.ts";
 export {
-  type PlainCall,
-  type PlainReply,
+  type PlainServiceCall,
   PlainServiceClient,
+  type PlainServiceReply,
   type PlainServices,
 } from "./plain-services.ts";
-export { hashSecret, isSameHash, readBearer } from "./secrets.ts";
+export { hashSecret, isSameHash, readBearerToken } from "./secrets.ts";
 export {
   END_INDEX,
-  type TokenBlock,
+  type TokenEventBatch,
+  TokenEventSplitter,
   TokenFormatError,
-  TokenSplitter,
 } from "./token-events.ts";
-export { type Channel, Traffic, type TrafficCount } from "./traffic.ts";
+export {
+  type ByteCounts,
+  type TrafficClass,
+  TrafficCounter,
+} from "./traffic-counter.ts";
 export {
   type GrantRequest,
   type WeightStore,
--- a/packages/clients/src/log.ts
+++ b/packages/clients/src/log.ts
@@ -9,13 +9,13 @@
 import type { Agent } from "undici";
 import type { Fault } from "./fault.ts";
 import { callJson } from "./http.ts";
-import { Traffic } from "./traffic.ts";
+import { TrafficCounter } from "./traffic-counter.ts";
 
 /** Streams that the system keeps in the log. */
-export type Stream = "control" | "calls";
+export type LogStream = "control" | "calls";
 
 /** How a stream is read. */
-export interface ReadRange {
+export interface LogReadOptions {
   readonly from: number;
   readonly max: number;
   /** How long the log may wait for a first entry. */
@@ -26,14 +26,14 @@
 export interface Log extends Service {
   /** Appends records as one entry; resolves to its offset. */
   append(
-    stream: Stream,
+    stream: LogStream,
     records: readonly unknown[],
     signal?: AbortSignal,
   ): Promise<Result<number, Fault>>;
   /** Reads entries from an offset on. */
   read(
-    stream: Stream,
-    range: ReadRange,
+    stream: LogStream,
+    options: LogReadOptions,
     signal?: AbortSignal,
   ): Promise<Result<LogPage, Fault>>;
 }
@@ -53,7 +53,7 @@
   constructor(
     clock: Clock,
     options: LogOptions,
-    traffic: Traffic = new Traffic(),
+    traffic: TrafficCounter = new TrafficCounter(),
   ) {
     this.#clock = clock;
     this.#options = options;
@@ -65,7 +65,7 @@
   }
 
   async append(
-    stream: Stream,
+    stream: LogStream,
     records: readonly unknown[],
     signal?: AbortSignal,
   ): Promise<Result<number, Fault>> {
@@ -82,11 +82,11 @@
   }
 
   read(
-    stream: Stream,
-    range: ReadRange,
+    stream: LogStream,
+    options: LogReadOptions,
     signal?: AbortSignal,
   ): Promise<Result<LogPage, Fault>> {
-    const { from, max, waitMs } = range;
+    const { from, max, waitMs } = options;
     return callJson(this.#clock, this.#agent, {
       address: this.#options.address,
       method: "GET",
--- a/packages/clients/src/peer-transport.ts
+++ b/packages/clients/src/peer-transport.ts
@@ -8,8 +8,8 @@
 import { Condition, describeError, type Service } from "@zinniahill/kernel";
 import { MAX_PEER_MESSAGE_BYTES } from "@zinniahill/schema";
 import { WebSocket, WebSocketServer } from "ws";
-import { hashSecret, isSameHash, readBearer } from "./secrets.ts";
-import { Traffic } from "./traffic.ts";
+import { hashSecret, isSameHash, readBearerToken } from "./secrets.ts";
+import { TrafficCounter } from "./traffic-counter.ts";
 
 /** One connection to another node. */
 export interface PeerConnection {
@@ -39,10 +39,10 @@
 /** Connections over WebSocket; both ends know the same token. */
 export class WebSocketTransport implements PeerTransport {
   #token: string;
-  #traffic: Traffic;
+  #traffic: TrafficCounter;
   #server: WebSocketServer | undefined;
 
-  constructor(token: string, traffic: Traffic = new Traffic()) {
+  constructor(token: string, traffic: TrafficCounter = new TrafficCounter()) {
     this.#token = token;
     this.#traffic = traffic;
   }
@@ -66,7 +66,7 @@
         port: Number(address.slice(separator + 1)),
         maxPayload: MAX_PEER_MESSAGE_BYTES,
         verifyClient: ({ req }: { req: IncomingMessage }) =>
-          isSameHash(hashSecret(readBearer(req)), expected),
+          isSameHash(hashSecret(readBearerToken(req)), expected),
       }, resolve);
       server.on("error", reject);
       server.on("connection", (socket, request) => {
--- a/packages/clients/src/plain-services.ts
+++ b/packages/clients/src/plain-services.ts
@@ -7,11 +7,11 @@
 import { type Clock, type Service, withDeadline } from "@zinniahill/kernel";
 import { Result } from "true-myth";
 import { type Agent, type Dispatcher, request } from "undici";
-import { Traffic } from "./traffic.ts";
+import { TrafficCounter } from "./traffic-counter.ts";
 import { createFault, type Fault } from "./fault.ts";
 
 /** One call to a plain service. */
-export interface PlainCall {
+export interface PlainServiceCall {
   readonly method: string;
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
@@ -19,7 +19,7 @@
 }
 
 /** A plain service's answer. */
-export interface PlainReply {
+export interface PlainServiceReply {
   readonly status: number;
   readonly contentType: string;
   readonly body: Buffer;
@@ -32,10 +32,10 @@
   /** Makes one call, on a new connection. */
   call(
     address: string,
-    call: PlainCall,
+    call: PlainServiceCall,
     timeoutMs: number,
     signal?: AbortSignal,
-  ): Promise<Result<PlainReply, Fault>>;
+  ): Promise<Result<PlainServiceReply, Fault>>;
 }
 
 const REFUSED_STATUS = 503;
@@ -63,7 +63,7 @@
   #clock: Clock;
   #agent: Agent;
 
-  constructor(clock: Clock, traffic: Traffic = new Traffic()) {
+  constructor(clock: Clock, traffic: TrafficCounter = new TrafficCounter()) {
     this.#clock = clock;
     this.#agent = traffic.createAgent("calls", {
       bodyTimeout: 0,
@@ -78,10 +78,10 @@
 
   async call(
     address: string,
-    call: PlainCall,
+    call: PlainServiceCall,
     timeoutMs: number,
     signal?: AbortSignal,
-  ): Promise<Result<PlainReply, Fault>> {
+  ): Promise<Result<PlainServiceReply, Fault>> {
     try {
       return await withDeadline(
         this.#clock,
@@ -106,7 +106,7 @@
 
 async function readReply(
   reply: Dispatcher.ResponseData,
-): Promise<Result<PlainReply, Fault>> {
+): Promise<Result<PlainServiceReply, Fault>> {
   const isRefusal = reply.statusCode === REFUSED_STATUS &&
     reply.headers[NOT_RUN_HEADER] === NOT_RUN_VALUE;
   if (isRefusal) {
--- a/packages/clients/src/secrets.ts
+++ b/packages/clients/src/secrets.ts
@@ -8,7 +8,7 @@
 import type { IncomingMessage } from "node:http";
 
 /** Reads the bearer token of a request. */
-export function readBearer(request: IncomingMessage): string {
+export function readBearerToken(request: IncomingMessage): string {
   const header = request.headers.authorization ?? "";
   return header.startsWith("Bearer ") ? header.slice("Bearer ".length) : "";
 }
--- a/packages/clients/src/token-events.ts
+++ b/packages/clients/src/token-events.ts
@@ -12,12 +12,12 @@
  * Events that one chunk completes: their bytes in one piece as they came, so
  * that they can be forwarded with one write.
  */
-export interface TokenBlock {
+export interface TokenEventBatch {
   readonly bytes: Buffer;
   /** Index of each token; `END_INDEX` for the event that ends the stream. */
-  readonly indices: readonly number[];
+  readonly tokenIndices: readonly number[];
   /** Position after each event, with its empty line. */
-  readonly ends: readonly number[];
+  readonly endOffsets: readonly number[];
 }
 
 /** Bytes of an event; an engine that sends more does not follow the format. */
@@ -35,14 +35,14 @@
 }
 
 /** Cuts byte chunks into events; keeps an unfinished event for later. */
-export class TokenSplitter {
+export class TokenEventSplitter {
   #rest: Buffer = Buffer.alloc(0);
 
   /** Returns the events that the chunk completes. */
-  push(chunk: Uint8Array): TokenBlock {
+  push(chunk: Uint8Array): TokenEventBatch {
     const bytes = this.#join(chunk);
-    const indices: number[] = [];
-    const ends: number[] = [];
+    const tokenIndices: number[] = [];
+    const endOffsets: number[] = [];
     // The separator may begin in the rest, so its last byte is searched again.
     const searchFrom = Math.max(0, this.#rest.length - 1);
     let start = 0;
@@ -51,15 +51,15 @@
       end >= 0;
       end = bytes.indexOf(SEPARATOR, start)
     ) {
-      indices.push(readEventIndex(bytes, start, end));
+      tokenIndices.push(readEventIndex(bytes, start, end));
       start = end + SEPARATOR.length;
-      ends.push(start);
+      endOffsets.push(start);
     }
     this.#rest = bytes.subarray(start);
     if (this.#rest.length > MAX_EVENT_BYTES) {
       throw new TokenFormatError("the event is too large");
     }
-    return { bytes: bytes.subarray(0, start), indices, ends };
+    return { bytes: bytes.subarray(0, start), tokenIndices, endOffsets };
   }
 
   #join(chunk: Uint8Array): Buffer {
--- a/packages/clients/src/traffic.ts
+++ b/packages/clients/src/traffic-counter.ts
@@ -8,7 +8,7 @@
 import { Agent, buildConnector } from "undici";
 
 /** What a connection is used for. */
-export type Channel =
+export type TrafficClass =
   | "log"
   | "host-list"
   | "weight-store"
@@ -18,31 +18,31 @@
   | "peers";
 
 /** Bytes of one channel, headers included. */
-export interface TrafficCount {
+export interface ByteCounts {
   readonly sentBytes: number;
   readonly receivedBytes: number;
 }
 
 /** Counts the bytes of connections, those that have ended included. */
-export class Traffic implements Service {
-  #ended = new Map<Channel, TrafficCount>();
-  #open = new Map<Channel, Set<Socket>>();
+export class TrafficCounter implements Service {
+  #ended = new Map<TrafficClass, ByteCounts>();
+  #open = new Map<TrafficClass, Set<Socket>>();
 
   /** Counts a connection's bytes until it ends. */
-  track(channel: Channel, socket: Socket): void {
-    const sockets = this.#open.get(channel) ?? new Set();
-    this.#open.set(channel, sockets.add(socket));
+  track(trafficClass: TrafficClass, socket: Socket): void {
+    const sockets = this.#open.get(trafficClass) ?? new Set();
+    this.#open.set(trafficClass, sockets.add(socket));
     socket.once("close", () => {
       sockets.delete(socket);
       this.#ended.set(
-        channel,
-        addCounts(this.#ended.get(channel) ?? NO_BYTES, socket),
+        trafficClass,
+        addCounts(this.#ended.get(trafficClass) ?? NO_BYTES, socket),
       );
     });
   }
 
   /** Creates a pool of connections whose bytes are counted. */
-  createAgent(channel: Channel, options: Agent.Options = {}): Agent {
+  createAgent(trafficClass: TrafficClass, options: Agent.Options = {}): Agent {
     const connect = buildConnector({});
     return new Agent({
       ...options,
@@ -51,7 +51,7 @@
           const [failure, socket] = result;
           // The library gives no socket, not even null, with a failure.
           if (failure === null && socket !== null) {
-            this.track(channel, socket);
+            this.track(trafficClass, socket);
           }
           callback(...result);
         });
@@ -60,22 +60,27 @@
   }
 
   /** Bytes of a channel so far. */
-  count(channel: Channel): TrafficCount {
-    const sockets = [...this.#open.get(channel) ?? []];
-    return sockets.reduce(addCounts, this.#ended.get(channel) ?? NO_BYTES);
+  getCounts(trafficClass: TrafficClass): ByteCounts {
+    const sockets = [...this.#open.get(trafficClass) ?? []];
+    return sockets.reduce(addCounts, this.#ended.get(trafficClass) ?? NO_BYTES);
   }
 
   dump(): unknown {
-    const channels = new Set([...this.#ended.keys(), ...this.#open.keys()]);
+    const trafficClasses = new Set([
+      ...this.#ended.keys(),
+      ...this.#open.keys(),
+    ]);
     return Object.fromEntries(
-      [...channels].map((channel) => [channel, this.count(channel)]),
+      [...trafficClasses].map((
+        trafficClass,
+      ) => [trafficClass, this.getCounts(trafficClass)]),
     );
   }
 }
 
-const NO_BYTES: TrafficCount = { sentBytes: 0, receivedBytes: 0 };
+const NO_BYTES: ByteCounts = { sentBytes: 0, receivedBytes: 0 };
 
-function addCounts(count: TrafficCount, socket: Socket): TrafficCount {
+function addCounts(count: ByteCounts, socket: Socket): ByteCounts {
   return {
     sentBytes: count.sentBytes + socket.bytesWritten,
     receivedBytes: count.receivedBytes + socket.bytesRead,
--- a/packages/clients/src/weight-store.ts
+++ b/packages/clients/src/weight-store.ts
@@ -9,7 +9,7 @@
 import type { Agent } from "undici";
 import type { Fault } from "./fault.ts";
 import { callJson } from "./http.ts";
-import { Traffic } from "./traffic.ts";
+import { TrafficCounter } from "./traffic-counter.ts";
 
 /** A host that wants to load a model. */
 export interface GrantRequest {
@@ -38,7 +38,7 @@
   constructor(
     clock: Clock,
     address: string,
-    traffic: Traffic = new Traffic(),
+    traffic: TrafficCounter = new TrafficCounter(),
   ) {
     this.#clock = clock;
     this.#address = address;
--- a/packages/clients/test/host-list.test.ts
+++ b/packages/clients/test/host-list.test.ts
@@ -2,7 +2,7 @@
 import type { Host } from "@zinniahill/schema";
 import { HostListStandIn } from "@zinniahill/stand-ins";
 import { afterEach, beforeEach, describe, expect, it } from "vitest";
-import { HostListClient, Traffic } from "../src/index.ts";
+import { HostListClient, TrafficCounter } from "../src/index.ts";
 
 function createHost(number: number): Host {
   return {
@@ -17,7 +17,7 @@
 
 describe("HostListClient", () => {
   let standIn: HostListStandIn;
-  let traffic: Traffic;
+  let traffic: TrafficCounter;
   let client: HostListClient;
 
   beforeEach(async () => {
@@ -25,7 +25,7 @@
     for (let number = 1; number <= 100; number++) {
       standIn.set(createHost(number));
     }
-    traffic = new Traffic();
+    traffic = new TrafficCounter();
     client = new HostListClient(
       new SystemClock(),
       await standIn.listen(),
@@ -41,9 +41,9 @@
   describe("a list that has not changed", () => {
     it("is not sent again, or reading it costs more than all other control", async () => {
       const first = await client.list();
-      const bytes = traffic.count("host-list").receivedBytes;
+      const bytes = traffic.getCounts("host-list").receivedBytes;
       const second = await client.list();
-      const repeated = traffic.count("host-list").receivedBytes - bytes;
+      const repeated = traffic.getCounts("host-list").receivedBytes - bytes;
       expect(second.isOk && second.value).toEqual(first.isOk && first.value);
       expect(repeated).toBeLessThan(bytes / 10);
     });
--- a/packages/clients/test/token-events.test.ts
+++ b/packages/clients/test/token-events.test.ts
@@ -1,8 +1,8 @@
 import { Buffer } from "node:buffer";
 import {
   END_INDEX,
+  TokenEventSplitter,
   TokenFormatError,
-  TokenSplitter,
 } from "@zinniahill/clients";
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
@@ -25,13 +25,13 @@
               ...places.toSorted((a, b) => a - b),
               STREAM.length,
             ];
-            const splitter = new TokenSplitter();
+            const splitter = new TokenEventSplitter();
             const indices: number[] = [];
             let text = "";
             for (let cut = 1; cut < cuts.length; cut++) {
               const chunk = STREAM.subarray(cuts[cut - 1], cuts[cut]);
               const block = splitter.push(chunk);
-              indices.push(...block.indices);
+              indices.push(...block.tokenIndices);
               text += block.bytes.toString();
             }
             expect(text).toBe(EVENTS.join(""));
@@ -50,7 +50,7 @@
       ["an id with other text", "id: 1x\ndata: {}\n\n"],
       ["an event without end", "id: 1\ndata: ".padEnd(2 * 1024 * 1024, "x")],
     ])("refuses %s", (_name, text) => {
-      const splitter = new TokenSplitter();
+      const splitter = new TokenEventSplitter();
       expect(() => splitter.push(Buffer.from(text))).toThrow(TokenFormatError);
     });
   });
--- a/packages/clients/test/verdicts.test.ts
+++ b/packages/clients/test/verdicts.test.ts
@@ -76,7 +76,7 @@
     const generate = () =>
       engines.generate(address, GENERATE, {
         timeoutMs: TIMEOUT_MS,
-        newConnection: false,
+        usesNewConnection: false,
       });
 
     it("is not-run when nothing listens", async () => {
--- a/packages/node/src/administration/administration.ts
+++ b/packages/node/src/administration/administration.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { hashSecret, isSameHash, readBearer } from "@zinniahill/clients";
+import { hashSecret, isSameHash, readBearerToken } from "@zinniahill/clients";
 import type { Random, Service } from "@zinniahill/kernel";
 import {
   type ControlRecord,
@@ -121,7 +121,7 @@
   #on(method: "GET" | "POST", path: string, task: RequestTask): void {
     const expected = hashSecret(this.#settings.node["admin-token"]);
     this.#listener.on(method, path, async (request, response) => {
-      if (!isSameHash(hashSecret(readBearer(request)), expected)) {
+      if (!isSameHash(hashSecret(readBearerToken(request)), expected)) {
         throw new Refusal(
           "unauthorized",
           "not-run",
--- a/packages/node/src/calls/calls.ts
+++ b/packages/node/src/calls/calls.ts
@@ -12,7 +12,7 @@
   TaskGroup,
   withDeadline,
 } from "@zinniahill/kernel";
-import type { Log, PlainReply } from "@zinniahill/clients";
+import type { Log, PlainServiceReply } from "@zinniahill/clients";
 import { CallReducer, type RememberedCall } from "@zinniahill/policy";
 import {
   CallRecord,
@@ -248,7 +248,7 @@
     once: OnceCall,
     intent: string,
     verdict: Verdict,
-    reply?: PlainReply,
+    reply?: PlainServiceReply,
   ): void {
     const isBodyOmitted = reply === undefined ||
       reply.body.length > MAX_KEPT_REPLY_BYTES;
--- a/packages/node/src/calls/service-call.ts
+++ b/packages/node/src/calls/service-call.ts
@@ -5,7 +5,7 @@
  */
 import { Buffer } from "node:buffer";
 import { createHash } from "node:crypto";
-import type { PlainReply } from "@zinniahill/clients";
+import type { PlainServiceReply } from "@zinniahill/clients";
 import type { RememberedCall } from "@zinniahill/policy";
 import { Refusal, type ServiceRule, type Verdict } from "@zinniahill/schema";
 import { Result } from "true-myth";
@@ -25,7 +25,7 @@
 }
 
 /** What a caller of a plain service receives. */
-export type ServiceReply = Result<PlainReply, Refusal>;
+export type ServiceReply = Result<PlainServiceReply, Refusal>;
 
 const RETRY_AFTER_MS = 1000;
 
--- a/packages/node/src/groups/orders.ts
+++ b/packages/node/src/groups/orders.ts
@@ -77,7 +77,7 @@
       return false;
     }
     const sentAt = this.#clock.now();
-    const reply = await this.#engines.order(address, body, limitMs, signal);
+    const reply = await this.#engines.sendOrder(address, body, limitMs, signal);
     if (reply.isOk) {
       // Without this, the order would be repeated until the next probe.
       this.#evidence.noteStatus(host, reply.value, sentAt);
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -14,7 +14,7 @@
   HostListClient,
   LogClient,
   PlainServiceClient,
-  Traffic,
+  TrafficCounter,
   WebSocketTransport,
   WeightStoreClient,
 } from "@zinniahill/clients";
@@ -115,7 +115,7 @@
   );
   provide("metrics", [], () => new Metrics(output.metrics, node.name));
   provide("lifecycle", [], () => new Lifecycle());
-  provide("traffic", [], () => new Traffic());
+  provide("traffic", [], () => new TrafficCounter());
   provide("processUsage", [], () => new ProcessUsage());
 
   provide(
--- a/packages/node/src/services.ts
+++ b/packages/node/src/services.ts
@@ -10,7 +10,7 @@
   Log,
   PeerTransport,
   PlainServices,
-  Traffic,
+  TrafficCounter,
   WeightStore,
 } from "@zinniahill/clients";
 import type { Settings } from "@zinniahill/schema";
@@ -44,7 +44,7 @@
   settings: Settings;
   lifecycle: Lifecycle;
   processUsage: ProcessUsage;
-  traffic: Traffic;
+  traffic: TrafficCounter;
   log: Log;
   hostList: HostList;
   weightStore: WeightStore;
--- a/packages/node/src/serving/authentication.ts
+++ b/packages/node/src/serving/authentication.ts
@@ -6,7 +6,7 @@
 import type { IncomingMessage } from "node:http";
 import { type AccountRule, Refusal, type Rules } from "@zinniahill/schema";
 import type { ControlState } from "../state/control-state.ts";
-import { hashSecret, isSameHash, readBearer } from "@zinniahill/clients";
+import { hashSecret, isSameHash, readBearerToken } from "@zinniahill/clients";
 
 /** A client account and the rules under which it calls. */
 export interface Caller {
@@ -39,7 +39,7 @@
         "no configuration is known",
       );
     }
-    const key = readBearer(request);
+    const key = readBearerToken(request);
     if (key === "") {
       throw new Refusal(
         "unauthorized",
--- a/packages/node/src/serving/stream-attempt.ts
+++ b/packages/node/src/serving/stream-attempt.ts
@@ -9,7 +9,7 @@
   type Engines,
   type EngineStream,
   type Fault,
-  TokenSplitter,
+  TokenEventSplitter,
 } from "@zinniahill/clients";
 import type { GenerateRequest } from "@zinniahill/schema";
 import { DeliveredText, readFinishReason } from "./delivered-text.ts";
@@ -54,7 +54,7 @@
 export interface Attempt {
   readonly address: string;
   readonly body: GenerateRequest;
-  readonly newConnection: boolean;
+  readonly usesNewConnection: boolean;
   /** How long the engine may take until the first event. */
   readonly firstTokenMs: number;
   /** How long it may take between two events. */
@@ -80,7 +80,7 @@
   engines: Engines,
   attempt: Attempt,
 ): Promise<Fault> {
-  const { address, body, newConnection, signal } = attempt;
+  const { address, body, usesNewConnection, signal } = attempt;
   const startedAt = clock.now();
   if (startedAt >= attempt.deadline) {
     return { verdict: "not-run", message: "the deadline has passed" };
@@ -88,7 +88,7 @@
   const until = Math.min(startedAt + attempt.firstTokenMs, attempt.deadline);
   const stream = await engines.generate(address, body, {
     timeoutMs: until - startedAt,
-    newConnection,
+    usesNewConnection,
     signal,
   });
   if (stream.isErr) {
@@ -134,11 +134,11 @@
   const { body, progress } = attempt;
   const before = progress.next;
   const gaps = new TokenGaps((ms) => attempt.onTokenGap(ms));
-  if (stream.request !== body.request) {
+  if (stream.requestId !== body.request) {
     throw new Error("the stream belongs to another request");
   }
   const mark = Buffer.from(`${CHUNK_ID_PREFIX}${body.request}"`);
-  const splitter = new TokenSplitter();
+  const splitter = new TokenEventSplitter();
   while (true) {
     const chunk = await watch.wait(chunks.next());
     if (chunk.done) {
--- a/packages/node/src/serving/streams.ts
+++ b/packages/node/src/serving/streams.ts
@@ -304,7 +304,7 @@
         offset: progress.next,
         ...(progress.next > 0 ? { prefix: progress.delivered.read() } : {}),
       },
-      newConnection: run.attempts > 1,
+      usesNewConnection: run.attempts > 1,
       firstTokenMs: this.#getFirstTokenMs(run, group),
       tokenGapMs: this.#settings.timing["stream-progress"],
       deadline: request.deadline,
--- a/packages/node/src/serving/token-run.ts
+++ b/packages/node/src/serving/token-run.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { Buffer } from "node:buffer";
-import { END_INDEX, type TokenBlock } from "@zinniahill/clients";
+import { END_INDEX, type TokenEventBatch } from "@zinniahill/clients";
 
 /** What a block of events holds for the caller. */
 export interface TokenRun {
@@ -24,8 +24,8 @@
  * Selects the events from token `next` on. Duplicates are dropped, and nothing
  * is taken from behind a gap; events out of order make a gap as well.
  */
-export function selectRun(block: TokenBlock, next: number): TokenRun {
-  const { bytes, indices, ends } = block;
+export function selectRun(block: TokenEventBatch, next: number): TokenRun {
+  const { bytes, tokenIndices, endOffsets } = block;
   const pieces: Buffer[] = [];
   let last: Buffer | undefined;
   let expected = next;
@@ -37,25 +37,25 @@
     }
   };
   let event = 0;
-  for (; event < indices.length; event++) {
-    const index = indices[event]!;
+  for (; event < tokenIndices.length; event++) {
+    const index = tokenIndices[event]!;
     if (index > expected || index === END_INDEX) {
       break;
     }
     if (index < expected) {
       continue;
     }
-    const start = event === 0 ? 0 : ends[event - 1]!;
+    const start = event === 0 ? 0 : endOffsets[event - 1]!;
     if (start !== pieceEnd) {
       endPiece();
       pieceStart = start;
     }
-    pieceEnd = ends[event]!;
+    pieceEnd = endOffsets[event]!;
     last = bytes.subarray(start, pieceEnd);
     expected++;
   }
   endPiece();
-  const stopIndex = indices[event];
+  const stopIndex = tokenIndices[event];
   return {
     bytes: pieces.length === 1 ? pieces[0]! : Buffer.concat(pieces),
     next: expected,
@@ -67,16 +67,16 @@
 
 /** Returns the first event that does not carry the mark of its request. */
 export function findForeignEvent(
-  { bytes, indices, ends }: TokenBlock,
+  { bytes, tokenIndices, endOffsets }: TokenEventBatch,
   mark: Buffer,
 ): number | undefined {
   let start = 0;
-  for (let event = 0; event < indices.length; event++) {
-    const end = ends[event]!;
+  for (let event = 0; event < tokenIndices.length; event++) {
+    const end = endOffsets[event]!;
     const place = bytes.indexOf(mark, start);
     const isOwn = place >= 0 && place < end;
-    if (!isOwn && indices[event] !== END_INDEX) {
-      return indices[event];
+    if (!isOwn && tokenIndices[event] !== END_INDEX) {
+      return tokenIndices[event];
     }
     start = end;
   }
--- a/packages/node/test/groups/fleet.ts
+++ b/packages/node/test/groups/fleet.ts
@@ -332,7 +332,7 @@
     },
     engines: {
       probe: (...call) => guard(engines.probe(...call)),
-      order: (...call) => guard(engines.order(...call)),
+      sendOrder: (...call) => guard(engines.sendOrder(...call)),
       generate: (...call) => guard(engines.generate(...call)),
       cancel: (...call) => guard(engines.cancel(...call)),
       readCacheEvents: (...call) => guard(engines.readCacheEvents(...call)),
--- a/packages/node/test/serving/fixture.ts
+++ b/packages/node/test/serving/fixture.ts
@@ -172,7 +172,7 @@
         return tamper === undefined
           ? reply
           : reply.map((stream): EngineStream => ({
-            request: stream.request,
+            requestId: stream.requestId,
             chunks: tamper(stream.chunks, attempt),
             close: () => stream.close(),
           }));
--- a/stand-ins/src/memory/platform.ts
+++ b/stand-ins/src/memory/platform.ts
@@ -195,7 +195,7 @@
             ? Result.err(createRefusedFault())
             : Result.ok(engine.status);
         }, signal),
-      order: (address, order, timeoutMs, signal) =>
+      sendOrder: (address, order, timeoutMs, signal) =>
         this.network.call(node, address, timeoutMs, () => {
           const engine = this.engines.get(address);
           const reason = engine?.carryOut(order);
--- a/stand-ins/src/memory/record-model.ts
+++ b/stand-ins/src/memory/record-model.ts
@@ -5,7 +5,11 @@
  */
 import { Buffer } from "node:buffer";
 import type { Clock } from "@zinniahill/kernel";
-import type { Fault, PlainCall, PlainReply } from "@zinniahill/clients";
+import type {
+  Fault,
+  PlainServiceCall,
+  PlainServiceReply,
+} from "@zinniahill/clients";
 import { Result } from "true-myth";
 
 /** One write that the service has carried out. */
@@ -41,9 +45,9 @@
 
   /** Carries out a call. */
   async handle(
-    call: PlainCall,
+    call: PlainServiceCall,
     from = "",
-  ): Promise<Result<PlainReply, Fault>> {
+  ): Promise<Result<PlainServiceReply, Fault>> {
     if (this.refuses) {
       return Result.err({
         verdict: "not-run",
@@ -69,7 +73,7 @@
   }
 }
 
-function createReply(status: number, body: unknown): PlainReply {
+function createReply(status: number, body: unknown): PlainServiceReply {
   return {
     status,
     contentType: "application/json",
--- a/stand-ins/src/memory/stream.ts
+++ b/stand-ins/src/memory/stream.ts
@@ -45,7 +45,7 @@
     this.#options = options;
   }
 
-  get request(): string {
+  get requestId(): string {
     return this.#options.request;
   }
 
