--- a/bench/src/matrix/callers.ts
+++ b/bench/src/matrix/callers.ts
@@ -183,14 +183,14 @@
   if (service === undefined) {
     return new Refusal("no-configuration", "not-run", "no rules are known");
   }
-  const reply = await kernel.find("calls").call({
-    request: `${key}/${attempt.node}`,
+  const reply = await kernel.find("calls").execute({
+    requestId: `${key}/${attempt.node}`,
     account: ACCOUNT,
     service,
     method: "POST",
     path: "/entries",
     headers: { "content-type": "application/json" },
-    key,
+    idempotencyKey: key,
     body: Buffer.from(JSON.stringify({ key })),
   }, new AbortController().signal);
   if (reply.isErr) {
--- a/packages/node/src/administration/administration.ts
+++ b/packages/node/src/administration/administration-api.ts
@@ -40,7 +40,7 @@
 });
 
 /** Serves operators. */
-export class Administration implements Service {
+export class AdministrationApi implements Service {
   #kernel: NodeKernel;
   #random: Random;
   #settings: Settings;
--- a/packages/node/src/calls/append-queue.ts
+++ b/packages/node/src/calls/append-queue.ts
@@ -15,7 +15,7 @@
 
 const MAX_BATCH_RECORDS = 256;
 const MAX_BATCH_BYTES = 1024 * 1024;
-const RETRY_PAUSE_MS = 200;
+const RETRY_DELAY_MS = 200;
 
 /**
  * Records that wait for the log. One append is in flight at a time: the log
@@ -25,14 +25,14 @@
  */
 export class AppendQueue {
   /** Notified when an append ends. */
-  readonly changed = new Condition();
+  readonly appendEnded = new Condition();
   #clock: Clock;
   #logger: Logger;
   #log: Log;
-  #added = new Condition();
+  #recordAdded = new Condition();
   #queued = new Map<string, QueuedRecord>();
-  #failures = 0;
-  #appends = 0;
+  #consecutiveFailures = 0;
+  #appendCount = 0;
 
   constructor(clock: Clock, logger: Logger, log: Log) {
     this.#clock = clock;
@@ -46,19 +46,19 @@
   }
 
   /** Appends that failed since the last one that succeeded. */
-  get failures(): number {
-    return this.#failures;
+  get consecutiveFailures(): number {
+    return this.#consecutiveFailures;
   }
 
   /** Appends that were begun. */
-  get appends(): number {
-    return this.#appends;
+  get appendCount(): number {
+    return this.#appendCount;
   }
 
   /** Puts a record at the end of the queue. */
   add(record: CallRecord): void {
     this.#queued.set(record.id, { record, isSent: false });
-    this.#added.notify();
+    this.#recordAdded.notify();
   }
 
   /** Removes a record; returns whether it may be in the log. */
@@ -69,7 +69,7 @@
   }
 
   /** Notes that a record was read from the log. */
-  noteRead(id: string): void {
+  markRead(id: string): void {
     this.#queued.delete(id);
   }
 
@@ -86,11 +86,11 @@
   /** Appends whatever is added, until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.#added.until(() => this.#queued.size > 0, signal);
+      await this.#recordAdded.until(() => this.#queued.size > 0, signal);
       await this.#appendBatch(signal);
-      this.changed.notify();
-      if (this.#failures > 0) {
-        await this.#clock.sleep(RETRY_PAUSE_MS, signal);
+      this.appendEnded.notify();
+      if (this.#consecutiveFailures > 0) {
+        await this.#clock.sleep(RETRY_DELAY_MS, signal);
       }
     }
   }
@@ -98,17 +98,17 @@
   async #appendBatch(signal: AbortSignal): Promise<void> {
     const batch = this.#takeBatch();
     const records = batch.map(({ record }) => record);
-    this.#appends++;
+    this.#appendCount++;
     const appended = await this.#log.append("calls", records, signal);
     if (appended.isErr) {
-      this.#failures++;
+      this.#consecutiveFailures++;
       this.#logger.warn("calls_not_appended", {
         records: records.length,
         error: appended.error.message,
       });
       return;
     }
-    this.#failures = 0;
+    this.#consecutiveFailures = 0;
     for (const { id } of records) {
       this.#queued.delete(id);
     }
--- a/packages/node/src/calls/dispatch.ts
+++ b/packages/node/src/calls/call-dispatcher.ts
@@ -20,7 +20,7 @@
 const RETRY_SAFE_PASSES = 2;
 
 /** Writes calls to upstreams. */
-export class Dispatch {
+export class CallDispatcher {
   #clock: Clock;
   #logger: Logger;
   #plainServices: PlainServices;
@@ -36,7 +36,10 @@
    * not to have run. The deadline is checked immediately before each write, as
    * the node may have been paused.
    */
-  async once(call: ServiceCall, deadline: number): Promise<ServiceReply> {
+  async dispatchOnce(
+    call: ServiceCall,
+    deadline: number,
+  ): Promise<ServiceReply> {
     let last: Refusal | undefined;
     for (const address of call.service.upstreams) {
       const reply = await this.#write(address, call, deadline);
@@ -49,7 +52,7 @@
   }
 
   /** Dispatches a call that may be repeated, until a reply comes. */
-  async again(
+  async dispatchWithRetries(
     call: ServiceCall,
     deadline: number,
     signal: AbortSignal,
@@ -83,13 +86,18 @@
     const { method, path, headers, body } = call;
     const reply = await this.#plainServices.call(
       address,
-      { method, path, headers: { ...headers, [KEY_HEADER]: call.key }, body },
+      {
+        method,
+        path,
+        headers: { ...headers, [KEY_HEADER]: call.idempotencyKey },
+        body,
+      },
       remainingMs,
       signal,
     );
     return reply.mapErr((fault) => {
       this.#logger.warn("upstream_fault", {
-        request: call.request,
+        request: call.requestId,
         address,
         verdict: fault.verdict,
         error: fault.message,
--- a/packages/node/src/calls/calls.ts
+++ b/packages/node/src/calls/call-executor.ts
@@ -24,12 +24,12 @@
 import { Result } from "true-myth";
 import type { NodeKernel } from "../services.ts";
 import { AppendQueue } from "./append-queue.ts";
-import { Dispatch } from "./dispatch.ts";
+import { CallDispatcher } from "./call-dispatcher.ts";
 import {
-  answerRepeat,
   createDeadlineRefusal,
-  createLogRefusal,
-  hashKey,
+  createLogUnavailableRefusal,
+  createRepeatReply,
+  hashCallKey,
   hashRequest,
   type ServiceCall,
   type ServiceReply,
@@ -57,13 +57,13 @@
 const MAX_APPEND_FAILURES = 2;
 
 /** Makes calls and remembers those that must not be repeated. */
-export class Calls implements Service {
+export class CallExecutor implements Service {
   #clock: Clock;
   #random: Random;
   #logger: Logger;
   #log: Log;
   #settings: Settings;
-  #dispatch: Dispatch;
+  #dispatch: CallDispatcher;
   #queue: AppendQueue;
   #tasks: TaskGroup;
   #reducer: CallReducer;
@@ -79,7 +79,7 @@
     this.#logger = kernel.find("logger");
     this.#log = kernel.find("log");
     this.#settings = kernel.find("settings");
-    this.#dispatch = new Dispatch(
+    this.#dispatch = new CallDispatcher(
       this.#clock,
       this.#logger,
       kernel.find("plainServices"),
@@ -104,7 +104,7 @@
     );
     this.#tasks.run("watch_appends", async (signal) => {
       while (!signal.aborted) {
-        await this.#queue.changed.wait(signal);
+        await this.#queue.appendEnded.wait(signal);
         this.#changed.notify();
       }
     });
@@ -127,19 +127,19 @@
       remembered: this.#reducer.size,
       keptReplyBytes: this.#reducer.bodyBytes,
       notAppended: this.#queue.size,
-      appends: this.#queue.appends,
+      appends: this.#queue.appendCount,
     };
   }
 
   /** Makes a call, at most once unless its method may be repeated. */
-  call(call: ServiceCall, signal: AbortSignal): Promise<ServiceReply> {
+  execute(call: ServiceCall, signal: AbortSignal): Promise<ServiceReply> {
     const deadline = this.#clock.now() + this.#settings.timing["call-deadline"];
     if (call.service["retry-safe"].includes(call.method)) {
-      return this.#dispatch.again(call, deadline, signal);
+      return this.#dispatch.dispatchWithRetries(call, deadline, signal);
     }
     return this.#callOnce({
       call,
-      key: hashKey(call),
+      key: hashCallKey(call),
       bodyHash: hashRequest(call),
       deadline,
     });
@@ -150,7 +150,7 @@
     while (this.#clock.now() < once.deadline) {
       const known = await this.#findEnded(once);
       if (known !== undefined) {
-        return answerRepeat(known, once.bodyHash);
+        return createRepeatReply(known, once.bodyHash);
       }
       const intent = this.#random.id();
       const claimed = await this.#claim(once, intent);
@@ -204,7 +204,7 @@
     intent: string,
   ): Promise<Result<boolean, Refusal>> {
     if (!this.#canRecord()) {
-      return Result.err(createLogRefusal());
+      return Result.err(createLogUnavailableRefusal());
     }
     const { key, bodyHash } = once;
     const gaps = this.#gaps;
@@ -218,14 +218,14 @@
     await this.#waitUntil(() => isRead() || isLost(), once.deadline);
     if (this.#gaps !== gaps || !isRead()) {
       this.#giveUp(once, intent);
-      return Result.err(createLogRefusal());
+      return Result.err(createLogUnavailableRefusal());
     }
     return Result.ok(!this.#reducer.hasEnded(intent));
   }
 
   #canRecord(): boolean {
     const isAppendable = this.#queue.size === 0 ||
-      this.#queue.failures < MAX_APPEND_FAILURES;
+      this.#queue.consecutiveFailures < MAX_APPEND_FAILURES;
     return this.#isLogReadable && isAppendable;
   }
 
@@ -237,7 +237,7 @@
   }
 
   async #runClaimed(once: OnceCall, intent: string): Promise<ServiceReply> {
-    const reply = await this.#dispatch.once(once.call, once.deadline);
+    const reply = await this.#dispatch.dispatchOnce(once.call, once.deadline);
     const verdict = reply.isOk ? "ran" : reply.error.verdict;
     this.#conclude(once, intent, verdict, reply.isOk ? reply.value : undefined);
     return reply;
@@ -266,7 +266,7 @@
     });
     this.#changed.notify();
     this.#logger.info("call_ended", {
-      request: once.call.request,
+      request: once.call.requestId,
       service: once.call.service.name,
       intent,
       verdict,
@@ -320,7 +320,7 @@
         const record = CallRecord.safeParse(candidate);
         if (record.success) {
           this.#reducer.apply(record.data);
-          this.#queue.noteRead(record.data.id);
+          this.#queue.markRead(record.data.id);
         }
       }
       this.#readUpTo = offset;
--- a/packages/node/src/calls/service-call.ts
+++ b/packages/node/src/calls/service-call.ts
@@ -12,7 +12,7 @@
 
 /** A call of a client account to a plain service. */
 export interface ServiceCall {
-  readonly request: string;
+  readonly requestId: string;
   readonly account: string;
   readonly service: ServiceRule;
   readonly method: string;
@@ -20,7 +20,7 @@
   readonly path: string;
   /** Headers for the upstream, in lower case. */
   readonly headers: Readonly<Record<string, string>>;
-  readonly key: string;
+  readonly idempotencyKey: string;
   readonly body: Buffer;
 }
 
@@ -30,8 +30,8 @@
 const RETRY_AFTER_MS = 1000;
 
 /** Hashes what a key stands for: client account, service and key. */
-export function hashKey(call: ServiceCall): string {
-  return hashParts(call.account, call.service.name, call.key);
+export function hashCallKey(call: ServiceCall): string {
+  return hashParts(call.account, call.service.name, call.idempotencyKey);
 }
 
 /** Hashes what must be the same when a key is used again. */
@@ -40,7 +40,7 @@
 }
 
 /** Answers a repeat from what is remembered of the first call. */
-export function answerRepeat(
+export function createRepeatReply(
   known: RememberedCall,
   bodyHash: string,
 ): ServiceReply {
@@ -79,7 +79,7 @@
 }
 
 /** The refusal of a call that cannot be recorded before it is dispatched. */
-export function createLogRefusal(): Refusal {
+export function createLogUnavailableRefusal(): Refusal {
   return new Refusal(
     "log-unavailable",
     "not-run",
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -19,8 +19,8 @@
   WeightStoreClient,
 } from "@zinniahill/clients";
 import type { Settings } from "@zinniahill/schema";
-import { Administration } from "./administration/administration.ts";
-import { Calls } from "./calls/calls.ts";
+import { AdministrationApi } from "./administration/administration-api.ts";
+import { CallExecutor } from "./calls/call-executor.ts";
 import { Departures } from "./groups/departures.ts";
 import { Evidence } from "./groups/evidence.ts";
 import { Hosts } from "./groups/hosts.ts";
@@ -56,7 +56,7 @@
   kernel.provide(
     "administration",
     [...base, "state", "evidence", "peers", "lifecycle"],
-    (services) => new Administration(services),
+    (services) => new AdministrationApi(services),
   );
   kernel.provide(
     "gauges",
@@ -222,7 +222,7 @@
   provide(
     "calls",
     [...base, "log", "plainServices"],
-    (services) => new Calls(services),
+    (services) => new CallExecutor(services),
   );
   provide(
     "lookup",
--- a/packages/node/src/services.ts
+++ b/packages/node/src/services.ts
@@ -14,8 +14,8 @@
   WeightStore,
 } from "@zinniahill/clients";
 import type { Settings } from "@zinniahill/schema";
-import type { Administration } from "./administration/administration.ts";
-import type { Calls } from "./calls/calls.ts";
+import type { AdministrationApi } from "./administration/administration-api.ts";
+import type { CallExecutor } from "./calls/call-executor.ts";
 import type { Departures } from "./groups/departures.ts";
 import type { Evidence } from "./groups/evidence.ts";
 import type { Hosts } from "./groups/hosts.ts";
@@ -63,10 +63,10 @@
   admission: AdmissionControl;
   router: Router;
   streams: Streams;
-  calls: Calls;
+  calls: CallExecutor;
   lookup: Lookup;
   publicApi: PublicApi;
-  administration: Administration;
+  administration: AdministrationApi;
   gauges: Gauges;
 }
 
--- a/packages/node/src/serving/service-calls.ts
+++ b/packages/node/src/serving/service-calls.ts
@@ -6,7 +6,7 @@
 import type { IncomingHttpHeaders, ServerResponse } from "node:http";
 import type { Random } from "@zinniahill/kernel";
 import { Refusal, type Settings } from "@zinniahill/schema";
-import type { Calls } from "../calls/calls.ts";
+import type { CallExecutor } from "../calls/call-executor.ts";
 import type { NodeKernel } from "../services.ts";
 import type { Caller } from "./authentication.ts";
 import { createCloseSignal, readBody, type RoutedRequest } from "./http.ts";
@@ -37,7 +37,7 @@
 export class ServiceCalls {
   #random: Random;
   #settings: Settings;
-  #calls: Calls;
+  #calls: CallExecutor;
 
   constructor(kernel: NodeKernel) {
     this.#random = kernel.find("random");
@@ -65,14 +65,14 @@
     response.setHeader(KEY_HEADER, key);
     const limit = this.#settings.limits["body-bytes"];
     const body = await readBody(request, limit);
-    const reply = await this.#calls.call({
-      request: id,
+    const reply = await this.#calls.execute({
+      requestId: id,
       account: account.name,
       service,
       method: request.method ?? "GET",
       path: readPath(request.url ?? ""),
       headers: selectHeaders(request),
-      key,
+      idempotencyKey: key,
       body,
     }, createCloseSignal(response));
     if (reply.isErr) {
--- a/packages/node/test/calls/fixture.ts
+++ b/packages/node/test/calls/fixture.ts
@@ -15,7 +15,7 @@
 import { ServiceRule } from "@zinniahill/schema";
 import { createSettings } from "../settings.ts";
 import { MemoryPlatform, type RecordModel } from "@zinniahill/stand-ins";
-import { Calls } from "../../src/calls/calls.ts";
+import { CallExecutor } from "../../src/calls/call-executor.ts";
 import type { ServiceCall } from "../../src/calls/service-call.ts";
 import type { Services } from "../../src/services.ts";
 
@@ -59,7 +59,7 @@
 /** One node of a test. */
 export interface CallNode {
   readonly name: string;
-  readonly calls: Calls;
+  readonly calls: CallExecutor;
   readonly clock: PausableClock;
   stop(): Promise<void>;
 }
@@ -96,7 +96,7 @@
     kernel.provide(
       "calls",
       ["clock", "random", "logger", "settings", "log", "plainServices"],
-      (services) => new Calls(services),
+      (services) => new CallExecutor(services),
     );
     await kernel.start();
     await this.clock.advance(10);
@@ -112,7 +112,7 @@
   ): { told?: Told } {
     const answer: { told?: Told } = {};
     const call = { ...createCall(key), ...change };
-    node.calls.call(call, new AbortController().signal).then((reply) => {
+    node.calls.execute(call, new AbortController().signal).then((reply) => {
       answer.told = reply.match<Told>({
         Ok: ({ status, body }) => ({ status, body: body.toString() }),
         Err: ({ verdict, code }) => ({ verdict, code }),
@@ -136,13 +136,13 @@
 /** Creates a write with a key. */
 export function createCall(key: string): ServiceCall {
   return {
-    request: `request-of-${key}`,
+    requestId: `request-of-${key}`,
     account: "north",
     service: ServiceRule.parse({ name: "records", upstreams: RECORDS }),
     method: "POST",
     path: "/writes?source=test",
     headers: { "idempotency-key": key },
-    key,
+    idempotencyKey: key,
     body: Buffer.from(`body of ${key}`),
   };
 }
