--- a/packages/schema/src/peer.ts
+++ b/packages/schema/src/peer.ts
@@ -29,7 +29,7 @@
 export const TreePositionTuple = z.tuple([
   /** Root. */
   z.string(),
-  /** Sequence number that the root raises. */
+  /** Sequence number, raised by the root. */
   z.number().int(),
   /** Depth. */
   z.number().int(),
--- a/packages/schema/src/records.ts
+++ b/packages/schema/src/records.ts
@@ -61,7 +61,7 @@
   kind: z.literal("group-draining"),
 });
 
-/** The group is gone; the hosts in `released` have confirmed the unload. */
+/** The group has ended; the hosts in `released` have confirmed the unload. */
 export const GroupRetiredRecord = z.object({
   ...GroupHeader,
   kind: z.literal("group-retired"),
