--- a/packages/relay/src/placement/controller.ts
+++ b/packages/relay/src/placement/controller.ts
@@ -14,10 +14,7 @@
 import { createGroupName, type Group, Groups } from "../hosts/groups.ts";
 import type { Feeds } from "../feeds/feeds.ts";
 import type { Instances } from "../hosts/instances.ts";
-import type {
-  EngineProfile,
-  Service as ServiceProfile,
-} from "../model/configuration.ts";
+import type { EngineProfile, ServiceProfile } from "../model/configuration.ts";
 import type { Mesh } from "../peers/mesh.ts";
 import type { RelayKernel } from "../services.ts";
 import type { Demand } from "./demand.ts";
@@ -114,7 +111,7 @@
   }
 
   start(): void {
-    this.#mesh.on("suspect", ({ group, epoch, instance }) => {
+    this.#mesh.onMessage("suspect", ({ group, epoch, instance }) => {
       this.#groups.suspect(group, epoch, `peer about ${instance}`);
       this.checkGroup(group, epoch);
     });
@@ -201,7 +198,7 @@
       ) {
         continue;
       }
-      const size = findModel(service, group.model)?.hosts ?? 0;
+      const size = findModel(service, group.model)?.hostCount ?? 0;
       const isWhole = group.members.length === size &&
         group.members.every((member) => !this.#health.isMissing(member));
       if (group.state === "open" || group.state === "closing") {
@@ -234,7 +231,7 @@
         (signal) => this.#endings.drain(group, signal),
       );
     } else if (
-      !isWhole && this.#feeds.reachableMs("instances") >= RELISTING_MS
+      !isWhole && this.#feeds.sinceOutageMs("instances") >= RELISTING_MS
     ) {
       this.checkGroup(group.name, group.epoch);
     }
@@ -313,7 +310,7 @@
         groups.filter(({ name }) => this.#busyGroups.has(name))
           .map(({ members }) => readDomain(members[0])),
       ),
-      hasNewHosts: this.#clock.now() - this.#instances.grownAt < GROWTH_MS,
+      hasNewHosts: this.#clock.now() - this.#instances.lastAddedAt < GROWTH_MS,
     });
   }
 
--- a/packages/relay/src/routing/current-configuration.ts
+++ b/packages/relay/src/routing/current-configuration.ts
@@ -7,7 +7,7 @@
 import type { Feeds } from "../feeds/feeds.ts";
 import type { Configuration } from "../model/configuration.ts";
 import type { KeyRecord } from "../model/peer-message.ts";
-import type { RecordDecoder } from "../outside.ts";
+import type { RecordDecoder } from "../adapter.ts";
 import type { RelayKernel } from "../services.ts";
 import { RouteTable } from "./route-table.ts";
 
@@ -27,7 +27,7 @@
   }
 
   /** Routes and accounts in force; undefined before the first version. */
-  get table(): RouteTable | undefined {
+  get routeTable(): RouteTable | undefined {
     return this.#table;
   }
 
--- /dev/null
+++ b/packages/relay/src/serving/request-handlers.ts
@@ -0,0 +1,319 @@
+/**
+ * Handlers that answer requests of each kind.
+ *
+ * @module
+ */
+import type { Buffer } from "node:buffer";
+import type { Clock, Logger, Service } from "@zinniahill/kernel";
+import { Refusal } from "@zinniahill/schema";
+import { Result } from "true-myth";
+import type { RequestKind } from "../model/configuration.ts";
+import type { RelayKernel } from "../services.ts";
+import {
+  ATTEMPT_ENDED,
+  type Attempts,
+  createFaultRefusal,
+  type OpenAttempt,
+} from "./attempts.ts";
+import { EventSplitter } from "./event-splitter.ts";
+import { collectBody, type UpstreamResponse } from "./exchange.ts";
+import type { RelayedRequest } from "./relayed-request.ts";
+import { writeBufferedResponse, writeStreamHead } from "./response-writer.ts";
+
+/** Origin of a response, and the load at that instance. */
+export interface ResponseSource {
+  readonly instance: string;
+  readonly group: string | undefined;
+  /** Requests at the instance as counted by this node when it was chosen. */
+  readonly load: number;
+  /** Requests at the instance as reported with its response. */
+  readonly upstreamLoad: number | undefined;
+}
+
+/** A response that was delivered to the caller. */
+export interface DeliveredResponse extends ResponseSource {
+  readonly status: number;
+  /** When the first byte was written to the caller. */
+  readonly firstByteAt: number;
+  readonly events: number;
+  /** Longest time between two events; 0 for a buffered response. */
+  readonly longestGapMs: number;
+}
+
+type Outcome = Result<DeliveredResponse, Refusal>;
+
+/** Answers requests of one kind. */
+type RequestHandler = (request: RelayedRequest) => Promise<Outcome>;
+
+/** A response that was read completely. */
+interface BufferedResponse {
+  readonly upstreamResponse: UpstreamResponse;
+  readonly chunks: readonly Buffer[];
+  readonly source: ResponseSource;
+}
+
+/** Progress of a stream over all its attempts. */
+interface StreamProgress {
+  lastEventId: string | undefined;
+  firstByteAt: number | undefined;
+  events: number;
+  status: number;
+  lastEventAt: number | undefined;
+  longestGapMs: number;
+}
+
+const MIN_SERVER_ERROR_STATUS = 500;
+const OK_STATUS = 200;
+
+/** Answers requests according to their kind. */
+export class RequestHandlers implements Service {
+  #clock: Clock;
+  #logger: Logger;
+  #attempts: Attempts;
+
+  constructor(kernel: RelayKernel) {
+    this.#clock = kernel.find("clock");
+    this.#logger = kernel.find("logger");
+    this.#attempts = kernel.find("attempts");
+  }
+
+  dump(): unknown {
+    return { kinds: Object.keys(this.#handlers) };
+  }
+
+  /** Answers a request; the error is the refusal of an unanswered one. */
+  handle(request: RelayedRequest): Promise<Outcome> {
+    return this.#handlers[request.route.kind](request);
+  }
+
+  readonly #handlers: Readonly<Record<RequestKind, RequestHandler>> = {
+    idempotent: (request) => this.#handleIdempotent(request),
+    once: (request) => this.#handleOnce(request),
+    stream: (request) => this.#handleStream(request),
+  };
+
+  async #handleOnce(request: RelayedRequest): Promise<Outcome> {
+    const buffered = await this.#readBuffered(request);
+    return buffered.map((whole) => this.#writeBuffered(request, whole));
+  }
+
+  /** Forwards a server error only if no other instance responds. */
+  async #handleIdempotent(request: RelayedRequest): Promise<Outcome> {
+    const first = await this.#readBuffered(request);
+    const hasServerError = first.isOk &&
+      first.value.upstreamResponse.status >= MIN_SERVER_ERROR_STATUS;
+    if (!hasServerError || !this.#attempts.tryTakeRetry(request)) {
+      return first.map((whole) => this.#writeBuffered(request, whole));
+    }
+    this.#logger.info("attempt_repeated", {
+      request: request.id,
+      instance: first.value.source.instance,
+      status: first.value.upstreamResponse.status,
+    });
+    const second = await this.#readBuffered(request);
+    const buffered = second.isOk ? second.value : first.value;
+    return Result.ok(this.#writeBuffered(request, buffered));
+  }
+
+  /** Reads one complete response, with as many attempts as are allowed. */
+  async #readBuffered(
+    request: RelayedRequest,
+  ): Promise<Result<BufferedResponse, Refusal>> {
+    for (;;) {
+      const opened = await this.#attempts.open(request, undefined);
+      if (opened.isErr) {
+        return Result.err(opened.error);
+      }
+      const { upstreamResponse, exchange, end } = opened.value;
+      try {
+        const chunks = await collectBody(upstreamResponse.body);
+        const source = describeSource(opened.value);
+        return Result.ok({ upstreamResponse, chunks, source });
+      } catch (failure) {
+        request.mayHaveRun = true;
+        const { message } = exchange.createFault(failure);
+        this.#logInterruption(request, opened.value, message);
+        const refusal = this.#decideAfterInterruption(request, message);
+        if (refusal !== undefined) {
+          return Result.err(refusal);
+        }
+      } finally {
+        end(ATTEMPT_ENDED);
+      }
+    }
+  }
+
+  #writeBuffered(
+    request: RelayedRequest,
+    { upstreamResponse, chunks, source }: BufferedResponse,
+  ): DeliveredResponse {
+    const method = request.incoming.method ?? "GET";
+    writeBufferedResponse(request.response, method, upstreamResponse, chunks);
+    const firstByteAt = this.#clock.now();
+    return {
+      ...source,
+      status: upstreamResponse.status,
+      firstByteAt,
+      events: 0,
+      longestGapMs: 0,
+    };
+  }
+
+  /**
+   * Forwards events as they arrive. An interrupted stream is resumed at another
+   * instance after its last complete event; the caller still sees one response.
+   */
+  async #handleStream(request: RelayedRequest): Promise<Outcome> {
+    const progress: StreamProgress = {
+      lastEventId: request.metadata.lastEventId,
+      firstByteAt: undefined,
+      events: 0,
+      status: OK_STATUS,
+      lastEventAt: undefined,
+      longestGapMs: 0,
+    };
+    for (;;) {
+      const opened = await this.#attempts.open(request, progress.lastEventId);
+      if (opened.isErr) {
+        return Result.err(opened.error);
+      }
+      const attempt = opened.value;
+      const source = describeSource(attempt);
+      try {
+        if (attempt.upstreamResponse.status !== OK_STATUS) {
+          const { upstreamResponse } = attempt;
+          return await this.#forwardErrorResponse(
+            request,
+            progress,
+            upstreamResponse,
+            source,
+          );
+        }
+        await this.#forwardEvents(request, attempt, progress);
+        request.response.end();
+        const firstByteAt = progress.firstByteAt ?? this.#clock.now();
+        return Result.ok({ ...progress, ...source, firstByteAt });
+      } catch (failure) {
+        request.mayHaveRun = true;
+        const { message } = attempt.exchange.createFault(failure);
+        this.#logInterruption(request, attempt, message, progress.events);
+        const refusal = this.#decideAfterInterruption(request, message);
+        if (refusal !== undefined) {
+          return Result.err(refusal);
+        }
+      } finally {
+        attempt.end(ATTEMPT_ENDED);
+      }
+    }
+  }
+
+  /** Forwards all events; throws if the upstream interrupts the stream. */
+  async #forwardEvents(
+    { response, metadata }: RelayedRequest,
+    { upstreamResponse, ticket }: OpenAttempt,
+    progress: StreamProgress,
+  ): Promise<void> {
+    const splitter = new EventSplitter(
+      progress.lastEventId ?? metadata.lastEventId,
+    );
+    for await (const chunk of upstreamResponse.body) {
+      ticket.recordEvent();
+      const block = splitter.push(chunk);
+      if (block === undefined) {
+        continue;
+      }
+      if (!response.headersSent) {
+        writeStreamHead(response, upstreamResponse);
+      }
+      this.#recordEvents(progress);
+      progress.events += block.count;
+      progress.lastEventId = block.lastId ?? progress.lastEventId;
+      response.write(block.bytes);
+    }
+    if (splitter.hasIncompleteEvent) {
+      throw new Error("the stream ended within an event");
+    }
+    if (!response.headersSent) {
+      writeStreamHead(response, upstreamResponse);
+    }
+  }
+
+  #recordEvents(progress: StreamProgress): void {
+    const now = this.#clock.now();
+    const gapMs = now - (progress.lastEventAt ?? now);
+    progress.firstByteAt ??= now;
+    progress.lastEventAt = now;
+    progress.longestGapMs = Math.max(progress.longestGapMs, gapMs);
+  }
+
+  /**
+   * Forwards an error response to a stream request: a body, not a stream.
+   */
+  async #forwardErrorResponse(
+    request: RelayedRequest,
+    progress: StreamProgress,
+    upstreamResponse: UpstreamResponse,
+    source: ResponseSource,
+  ): Promise<Outcome> {
+    const chunks = await collectBody(upstreamResponse.body);
+    if (progress.events > 0) {
+      return Result.err(
+        new Refusal(
+          "upstream-unavailable",
+          "may-have-run",
+          `resuming the stream failed with status ${upstreamResponse.status}`,
+        ),
+      );
+    }
+    return Result.ok(
+      this.#writeBuffered(request, { upstreamResponse, chunks, source }),
+    );
+  }
+
+  /**
+   * Returns the final refusal after an interruption, or undefined if another
+   * attempt is allowed.
+   */
+  #decideAfterInterruption(
+    request: RelayedRequest,
+    message: string,
+  ): Refusal | undefined {
+    if (
+      request.callerSignal.aborted || this.#clock.now() >= request.deadlineAt
+    ) {
+      return new Refusal("deadline", "may-have-run", message);
+    }
+    const { kind, isResumable } = request.route;
+    const isSafe = kind === "idempotent" || isResumable;
+    return isSafe && this.#attempts.tryTakeRetry(request)
+      ? undefined
+      : createFaultRefusal(request, message);
+  }
+
+  #logInterruption(
+    request: RelayedRequest,
+    { choice }: OpenAttempt,
+    error: string,
+    events = 0,
+  ): void {
+    this.#logger.info("answer_broken", {
+      request: request.id,
+      instance: choice.instance.id,
+      group: choice.group?.name,
+      events,
+      error,
+      left_ms: Math.round(request.deadlineAt - this.#clock.now()),
+    });
+  }
+}
+
+function describeSource(
+  { choice, responseMetadata }: OpenAttempt,
+): ResponseSource {
+  return {
+    instance: choice.instance.id,
+    group: choice.group?.name,
+    load: choice.load,
+    upstreamLoad: responseMetadata.upstreamLoad,
+  };
+}
