--- a/packages/relay/src/feeds/feeds.ts
+++ b/packages/relay/src/feeds/feeds.ts
@@ -131,7 +131,7 @@
     this.#feeds[feed].listeners.add(listener);
   }
 
-  /** Sets when this node reads at the full rate whatever the number of nodes. */
+  /** Sets when this node reads at the full rate for any number of nodes. */
   readAtFullRateWhile(isRequired: () => boolean): void {
     this.#isAtFullRate = isRequired;
   }
@@ -188,7 +188,7 @@
     return this.#clock.now() - this.#feeds[feed].upToDateAt;
   }
 
-  /** Whether the feed has not been known to be complete for too long. */
+  /** Whether newer records may have been missing for too long. */
   isStale(feed: FeedName): boolean {
     return this.ageMs(feed) > STALE_AFTER_MS;
   }
@@ -236,12 +236,12 @@
       }
       if (read.isErr) {
         failures++;
-        this.#noteFailure(feed, startedAt, read.error.message);
+        this.#recordFailure(feed, startedAt, read.error.message);
         await this.#clock.sleep(this.#drawRetryDelayMs(failures), signal);
         continue;
       }
       failures = 0;
-      this.#noteSuccess(feed, startedAt);
+      this.#recordSuccess(feed, startedAt);
       if (read.value > 0) {
         await this.#delayNextRead(feed, signal);
       }
@@ -315,7 +315,7 @@
     }
   }
 
-  #noteSuccess(feed: FeedName, startedAt: number): void {
+  #recordSuccess(feed: FeedName, startedAt: number): void {
     const state = this.#feeds[feed];
     if (!state.isReachable) {
       state.isReachable = true;
@@ -329,7 +329,7 @@
     state.upToDateAt = Math.max(state.upToDateAt, startedAt);
   }
 
-  #noteFailure(feed: FeedName, startedAt: number, error: string): void {
+  #recordFailure(feed: FeedName, startedAt: number, error: string): void {
     const state = this.#feeds[feed];
     state.failingSince ??= startedAt;
     if (state.isReachable) {
@@ -343,7 +343,7 @@
     }
   }
 
-  /** Half of the delay is random, so that nodes do not retry at the same time. */
+  /** Half of the delay is random, so that nodes do not retry in step. */
   #drawRetryDelayMs(failures: number): number {
     const maxMs = MAX_RETRY_DELAY_MS +
       MAX_RETRY_DELAY_MS_PER_NODE * this.#countExtraNodes();
--- a/packages/relay/src/feeds/record-table.ts
+++ b/packages/relay/src/feeds/record-table.ts
@@ -42,8 +42,8 @@
   }
 
   /**
-   * Applies a snapshot whose reading began when the topic ended at `next`. A key
-   * that it does not contain was deleted, unless its record is newer.
+   * Applies a snapshot whose reading began when the topic ended at `next`. A
+   * key that it does not contain was deleted, unless its record is newer.
    */
   applySnapshot(records: readonly KeyRecord[], next: number): KeyRecord[] {
     const snapshotKeys = new Set(records.map(({ key }) => key));
--- a/packages/relay/src/peers/feed-exchange.ts
+++ b/packages/relay/src/peers/feed-exchange.ts
@@ -1,5 +1,5 @@
 /**
- * Exchange of records between nodes, for a node that the store does not serve.
+ * Exchange of records between nodes when the store does not supply them.
  *
  * @module
  */
@@ -51,8 +51,8 @@
     return { offsets, agesMs };
   }
 
-  /** The fetches for records that a peer has and the store did not return. */
-  compareProgress(peer: string, heartbeat: Heartbeat): MessageOf<"fetch">[] {
+  /** Creates fetches for a peer's records that the store has not returned. */
+  listFetches(peer: string, heartbeat: Heartbeat): MessageOf<"fetch">[] {
     return SharedFeed.options.flatMap((feed) =>
       this.#compareFeed(peer, heartbeat, feed)
     );
@@ -107,8 +107,8 @@
     }
     const now = this.#clock.now();
     const known = this.#lags.get(key);
-    // Reaching a known offset restarts the timing, as a peer that reads more often
-    // is always slightly ahead.
+    // Reaching a known offset restarts the timing, as a peer that reads more
+    // often is always slightly ahead.
     const lag = known !== undefined && ownNext < known.offset
       ? known
       : { offset: peerNext, since: now };
--- a/packages/relay/src/peers/idle-timeout.ts
+++ b/packages/relay/src/peers/idle-timeout.ts
@@ -7,7 +7,8 @@
 
 /**
  * Calls back once when the timeout has elapsed without a reset. A reset only
- * stores the time, as a timer for each message would cost more than the message.
+ * stores the time, as a timer for each message would cost more than the
+ * message.
  */
 export class IdleTimeout {
   #clock: Pick<Clock, "now" | "schedule">;
--- a/packages/relay/src/peers/instance-updates.ts
+++ b/packages/relay/src/peers/instance-updates.ts
@@ -2,8 +2,8 @@
  * Sends changes of the instances from the holder of placement to its peers.
  *
  * The holder reads the store most often. Most of the records that it reads only
- * renew entries; it sends the others to all nodes at once, so that these need to
- * read the store only occasionally.
+ * renew entries; it sends the others to all nodes at once, so that these need
+ * to read the store only occasionally.
  *
  * @module
  */
--- a/packages/relay/src/peers/mesh.ts
+++ b/packages/relay/src/peers/mesh.ts
@@ -56,7 +56,7 @@
 const MIN_HEARTBEAT_INTERVAL_MS = 150;
 /** Keeps the rate of all heartbeats linear, not quadratic, in the nodes. */
 const HEARTBEAT_INTERVAL_MS_PER_PEER = 15;
-/** A connection without a message for this many heartbeat intervals is closed. */
+/** Heartbeat intervals without a message after which a connection is closed. */
 const MAX_MISSED_HEARTBEATS = 6;
 const CONNECT_TIMEOUT_MS = 500;
 const RECONNECT_DELAY_MS = 200;
@@ -75,7 +75,7 @@
   #decoder: RecordDecoder;
   #exchange: FeedExchange;
   #lifecycle: Lifecycle;
-  #intake: CapacityMonitor;
+  #capacityMonitor: CapacityMonitor;
   #ownEntry: NodeEntry;
   #directory: NodeDirectory;
   #tasks: TaskGroup;
@@ -95,7 +95,7 @@
     this.#decoder = kernel.find("decoder");
     this.#exchange = new FeedExchange(kernel);
     this.#lifecycle = kernel.find("lifecycle");
-    this.#intake = kernel.find("intake");
+    this.#capacityMonitor = kernel.find("intake");
     const { node } = kernel.find("settings");
     this.#ownEntry = {
       name: node.name,
@@ -248,7 +248,7 @@
       isServing: this.#lifecycle.isServing,
       holdsPlacement: isHolder,
       seeksPlacement: isCandidate,
-      capacity: this.#intake.capacity,
+      capacity: this.#capacityMonitor.capacity,
       ...this.#exchange.describeProgress(),
       outstanding: [...this.#readOutstanding()],
     };
@@ -405,7 +405,7 @@
         heartbeat.outstanding,
         this.#clock.now(),
       );
-      this.#exchange.compareProgress(link.entry.name, heartbeat)
+      this.#exchange.listFetches(link.entry.name, heartbeat)
         .forEach((fetch) => this.#send(link, fetch));
     },
     fetch: (link, message) =>
--- a/packages/relay/src/peers/peer.ts
+++ b/packages/relay/src/peers/peer.ts
@@ -24,6 +24,7 @@
 /** A node's role in the election of the holder. */
 export interface PlacementRole {
   readonly isHolder: boolean;
+  /** Whether the node is about to take placement. */
   readonly isCandidate: boolean;
 }
 
--- a/packages/relay/src/routing/dispatcher.ts
+++ b/packages/relay/src/routing/dispatcher.ts
@@ -156,7 +156,7 @@
     );
   }
 
-  /** A short delay if it still meets the target, else one beyond a load peak. */
+  /** A short delay if that can meet the target, else one beyond a load peak. */
   #drawRetryAfterMs({ targetMs }: SelectionCriteria): number {
     const meanMs = targetMs > 2 * EARLY_RETRY_MS
       ? EARLY_RETRY_MS
--- a/packages/relay/src/routing/load-balancing.ts
+++ b/packages/relay/src/routing/load-balancing.ts
@@ -10,14 +10,16 @@
  * undefined if no upstream has room.
  *
  * The unreported requests of other nodes, which `loads` does not include, and
- * the next request are assumed to fill the least loaded upstreams up to a common
- * level (water-filling), at most the limit. An upstream's probability is the
- * share of these requests that it receives. Where they exceed the room below the
- * limit, the next request finds room with the same probability as each of them.
+ * the next request are assumed to fill the least loaded upstreams up to a
+ * common level (water-filling), at most the limit. An upstream's probability is
+ * the share of these requests that it receives. Where they exceed the room
+ * below the limit, the next request finds room with the same probability as
+ * each of them.
  *
- * Without unreported requests, the least loaded upstream is selected; with many,
- * all nodes together fill the upstreams evenly. If every node selected the least
- * loaded upstream, all would send to the same one until the next counts arrive.
+ * Without unreported requests, the least loaded upstream is selected; with
+ * many, all nodes together fill the upstreams evenly. If every node selected
+ * the least loaded upstream, all would send to the same one until the next
+ * counts arrive.
  */
 export function selectByLoad(
   loads: readonly number[],
--- a/packages/relay/src/routing/outstanding-requests.ts
+++ b/packages/relay/src/routing/outstanding-requests.ts
@@ -63,14 +63,15 @@
 const CHECK_INTERVAL_MS = 50;
 const PRUNE_INTERVAL_MS = 10_000;
 /**
- * Exceeds the interval between events of a stream that has begun, which is up to
- * 0.28 s at a busy engine with long prompts.
+ * Exceeds the interval between events of a stream that has begun, which is up
+ * to 0.28 s at a busy engine with long prompts.
  */
 const STALL_TIMEOUT_MS = 350;
 /**
- * Longer than STALL_TIMEOUT_MS, as requests without an event may be queued behind
- * long prompts or behind requests of other nodes. With many nodes, each has few
- * requests at a group, so events that other nodes received count as well.
+ * Longer than STALL_TIMEOUT_MS, as requests without an event may be queued
+ * behind long prompts or behind requests of other nodes. With many nodes, each
+ * has few requests at a group, so events that other nodes received count as
+ * well.
  */
 const FIRST_EVENT_TIMEOUT_MS = 600;
 
@@ -127,8 +128,8 @@
 
   /**
    * Estimates the current requests at instances. Some requests that the last
-   * heartbeats of peers counted have ended since. About as many others have been
-   * sent meanwhile, to instances that are not known yet.
+   * heartbeats of peers counted have ended since. About as many others have
+   * been sent meanwhile, to instances that are not known yet.
    */
   estimateLoads(instances: readonly string[]): LoadEstimate {
     const now = this.#clock.now();
@@ -244,7 +245,8 @@
 
   /**
    * The time without events after which a group counts as stalled. Requests
-   * without an event are weaker evidence, unless another node suspects the group.
+   * without an event are weaker evidence, unless another node suspects the
+   * group.
    */
   #getTimeoutMs(hasBegun: boolean, group: GroupRef): number {
     return hasBegun || this.#groups.isSuspected(group)
--- a/packages/relay/src/routing/retry-budget.ts
+++ b/packages/relay/src/routing/retry-budget.ts
@@ -21,7 +21,7 @@
 }
 
 const BUCKETS_PER_WINDOW = 20;
-/** The rest of the budget is a margin, as attempts are counted where they end. */
+/** The rest of the budget is a margin: attempts are counted where they end. */
 const USABLE_SHARE = 0.8;
 
 /**
--- a/packages/relay/test/feeds/feeds.test.ts
+++ b/packages/relay/test/feeds/feeds.test.ts
@@ -21,7 +21,7 @@
   /** Announced nodes. */
   nodes = 0;
   /** Whether each read of the instances returns a record. */
-  isBusy = false;
+  hasInstanceRecords = false;
   instanceReads = 0;
   #clock: ManualClock;
 
@@ -43,7 +43,7 @@
     feed: FeedName,
     offset: number,
   ): Promise<Result<Batch, Fault>> {
-    if (feed === "instances" && this.isBusy) {
+    if (feed === "instances" && this.hasInstanceRecords) {
       this.instanceReads++;
       const record = { key: "i-1", offset, value: "{}" };
       return Result.ok({ records: [record], next: offset + 1 });
@@ -101,7 +101,7 @@
       const { clock, store, feeds } = await startFeeds();
       feeds.readAtFullRateWhile(() => isAtFullRate);
       store.nodes = nodes;
-      store.isBusy = true;
+      store.hasInstanceRecords = true;
       feeds.applyFromPeer("nodes", [], 1);
       await clock.advance(1000);
       store.instanceReads = 0;
@@ -123,7 +123,7 @@
   describe("a node that receives updates from a peer", () => {
     async function startUpdated() {
       const started = await startFeeds();
-      started.store.isBusy = true;
+      started.store.hasInstanceRecords = true;
       await started.clock.advance(1000);
       return started;
     }
--- a/packages/relay/test/peers/feed-exchange.test.ts
+++ b/packages/relay/test/peers/feed-exchange.test.ts
@@ -48,18 +48,17 @@
   describe("a peer that has read more", () => {
     it("gets no fetch immediately, as the store returns most changes in time", async () => {
       const { clock, exchange } = await create();
-      expect(exchange.compareProgress("n-2", createHeartbeat(9))).toEqual([]);
+      expect(exchange.listFetches("n-2", createHeartbeat(9))).toEqual([]);
       await clock.advance(250);
-      expect(exchange.compareProgress("n-2", createHeartbeat(9)))
+      expect(exchange.listFetches("n-2", createHeartbeat(9)))
         .toEqual([{ kind: "fetch", feed: "instances", from: 0 }]);
     });
 
     it("gets no fetch while this node keeps up with it", async () => {
       const { clock, exchange, table } = await create();
       for (let next = 1; next <= 20; next++) {
-        expect(exchange.compareProgress("n-2", createHeartbeat(next))).toEqual(
-          [],
-        );
+        expect(exchange.listFetches("n-2", createHeartbeat(next)))
+          .toEqual([]);
         await clock.advance(150);
         table.apply([], next);
       }
@@ -68,52 +67,47 @@
     it("gets its fetch later if this node delays its reads", async () => {
       const { clock, feeds, exchange } = await create();
       feeds.delayMs = 400;
-      exchange.compareProgress("n-2", createHeartbeat(9));
+      exchange.listFetches("n-2", createHeartbeat(9));
       await clock.advance(450);
-      expect(exchange.compareProgress("n-2", createHeartbeat(9))).toEqual([]);
+      expect(exchange.listFetches("n-2", createHeartbeat(9))).toEqual([]);
       await clock.advance(200);
-      expect(exchange.compareProgress("n-2", createHeartbeat(9))).toHaveLength(
-        1,
-      );
+      expect(exchange.listFetches("n-2", createHeartbeat(9)))
+        .toHaveLength(1);
     });
 
     it("gets no fetch for records that were just requested from another peer", async () => {
       const { clock, feeds, exchange } = await create();
       feeds.isStoreReachable = false;
       await clock.advance(200);
-      expect(exchange.compareProgress("n-2", createHeartbeat(9))).toHaveLength(
-        1,
-      );
-      expect(exchange.compareProgress("n-3", createHeartbeat(9))).toHaveLength(
-        0,
-      );
+      expect(exchange.listFetches("n-2", createHeartbeat(9)))
+        .toHaveLength(1);
+      expect(exchange.listFetches("n-3", createHeartbeat(9)))
+        .toHaveLength(0);
       await clock.advance(150);
-      expect(exchange.compareProgress("n-3", createHeartbeat(9))).toHaveLength(
-        1,
-      );
+      expect(exchange.listFetches("n-3", createHeartbeat(9)))
+        .toHaveLength(1);
     });
 
     it("gets a fetch immediately while this node's reads fail", async () => {
       const { feeds, exchange } = await create();
       feeds.isStoreReachable = false;
-      expect(exchange.compareProgress("n-2", createHeartbeat(9))).toHaveLength(
-        1,
-      );
+      expect(exchange.listFetches("n-2", createHeartbeat(9)))
+        .toHaveLength(1);
     });
 
     it("gets no immediate fetch after a reconnect", async () => {
       const { clock, exchange } = await create();
-      exchange.compareProgress("n-2", createHeartbeat(9));
+      exchange.listFetches("n-2", createHeartbeat(9));
       await clock.advance(250);
       exchange.remove("n-2");
-      expect(exchange.compareProgress("n-2", createHeartbeat(9))).toEqual([]);
+      expect(exchange.listFetches("n-2", createHeartbeat(9))).toEqual([]);
     });
   });
 
   describe("a peer that has read the same", () => {
     it("confirms that this node is up to date", async () => {
       const { feeds, exchange } = await create();
-      exchange.compareProgress("n-2", createHeartbeat(0));
+      exchange.listFetches("n-2", createHeartbeat(0));
       expect(feeds.currentAges).toEqual([5, 7]);
     });
   });
--- a/packages/relay/test/routing/many-nodes.test.ts
+++ b/packages/relay/test/routing/many-nodes.test.ts
@@ -197,8 +197,9 @@
     { nodes: 32, groups: 13 },
     { nodes: 100, groups: 40 },
   ])("$nodes nodes in front of $groups groups", (deployment) => {
-    // Guards against a cause of the incident SHORT: all nodes sent their requests
-    // to the group with the lowest reported count, and its first tokens were late.
+    // Guards against a cause of the incident SHORT: all nodes sent their
+    // requests to the group with the lowest reported count, and its first
+    // tokens were late.
     it.each(SEEDS)(
       "exceed the slots of no group while half of all slots are free (seed %i)",
       async (seed) => {
@@ -209,9 +210,9 @@
   });
 
   describe("with more load than slots", () => {
-    // Guards against a cause of the incident SHORT: every node sent the requests
-    // that it could not assign elsewhere to the only group that seemed to have
-    // room.
+    // Guards against a cause of the incident SHORT: every node sent the
+    // requests that it could not assign elsewhere to the only group that seemed
+    // to have room.
     it.each(SEEDS)(
       "let 95 in 100 requests get a slot within the target, and leave none idle (seed %i)",
       async (seed) => {
