--- a/packages/schema/src/records.ts
+++ b/packages/schema/src/records.ts
@@ -1,5 +1,5 @@
 /**
- * Records that the system keeps in the platform's log.
+ * Records in the streams of the platform's log.
  *
  * @module
  */
@@ -9,13 +9,13 @@
 /** An offset in a stream of the log; the first record has offset 1. */
 export const Offset = z.number().int().min(0);
 
-const Header = { id: z.string(), node: z.string() };
-const Fenced = { ...Header, scope: z.string(), fence: Offset };
-const GroupStep = { ...Fenced, group: z.string() };
+const RecordHeader = { id: z.string(), node: z.string() };
+const FencedHeader = { ...RecordHeader, scope: z.string(), fence: Offset };
+const GroupHeader = { ...FencedHeader, group: z.string() };
 
-/** A new text of the rules, made from version `basis`. */
+/** A new text of the rules, edited from version `basis`. */
 export const ConfigurationRecord = z.object({
-  ...Header,
+  ...RecordHeader,
   kind: z.literal("configuration"),
   basis: Offset,
   text: z.string(),
@@ -24,67 +24,67 @@
 
 /** A claim (`fence` 0) or a renewal of the lease of a scope. */
 export const LeaseRecord = z.object({
-  ...Fenced,
+  ...FencedHeader,
   kind: z.literal("lease"),
   /** Offset of the last lease record of the scope that the writer has read. */
   basis: Offset,
 });
 
-/** Hosts that are to form a group; the first one is the lead. */
+/** The hosts that will form a group; the first one is the lead. */
 export const GroupAssignedRecord = z.object({
-  ...GroupStep,
+  ...GroupHeader,
   kind: z.literal("group-assigned"),
   model: z.string(),
   version: z.string(),
   hosts: z.array(z.string()).min(1),
   fabricDomain: z.string(),
   dataCentre: z.string(),
-  /** The group that this one is to replace. */
+  /** The group that this one will replace. */
   replaces: z.string().optional(),
 });
 
-/** The holder begins to order the group's hosts to load. */
+/** The holder starts to order the group's hosts to load the model. */
 export const GroupLoadingRecord = z.object({
-  ...GroupStep,
+  ...GroupHeader,
   kind: z.literal("group-loading"),
 });
 
 /** Every host of the group has confirmed its role. */
 export const GroupReadyRecord = z.object({
-  ...GroupStep,
+  ...GroupHeader,
   kind: z.literal("group-ready"),
 });
 
 /** The group takes no new work. */
 export const GroupDrainingRecord = z.object({
-  ...GroupStep,
+  ...GroupHeader,
   kind: z.literal("group-draining"),
 });
 
 /** The group is gone; the hosts in `released` have confirmed the unload. */
 export const GroupRetiredRecord = z.object({
-  ...GroupStep,
+  ...GroupHeader,
   kind: z.literal("group-retired"),
   released: z.array(z.string()),
 });
 
 /** A host of a retired group has confirmed the unload. */
 export const HostReleasedRecord = z.object({
-  ...Fenced,
+  ...FencedHeader,
   kind: z.literal("host-released"),
   host: z.string(),
 });
 
-/** An operator takes a host out of service, or gives it back. */
+/** An operator takes a host out of service or returns it to service. */
 export const HostDrainedRecord = z.object({
-  ...Header,
+  ...RecordHeader,
   kind: z.literal("host-drained"),
   host: z.string(),
   drained: z.boolean(),
   author: z.string(),
 });
 
-/** States of a group, in the order of its life. */
+/** Phases of a group, in lifecycle order. */
 export const GroupPhase = z.enum([
   "assigned",
   "loading",
@@ -92,7 +92,7 @@
   "draining",
   "retired",
 ]);
-/** States of a group, in the order of its life. */
+/** Phases of a group, in lifecycle order. */
 export type GroupPhase = z.infer<typeof GroupPhase>;
 
 /** The configuration in force. */
@@ -130,20 +130,20 @@
   fabricDomain: z.string(),
   dataCentre: z.string(),
   replaces: z.string().optional(),
-  /** Fencing number under which the last step was taken. */
+  /** Fencing number of the record that set the phase. */
   fence: Offset,
-  /** Offset of the record of the last step. */
+  /** Offset of the record that set the phase. */
   since: Offset,
 });
 /** A group that is not retired. */
 export type GroupState = z.infer<typeof GroupState>;
 
-/** How one record was decided, so that a repeat with its id changes nothing. */
+/** Whether the record with an id was accepted; a repeat of it has no effect. */
 export const RecordDecision = z.object({
   id: z.string(),
   accepted: z.boolean(),
 });
-/** How one record was decided, so that a repeat with its id changes nothing. */
+/** Whether the record with an id was accepted; a repeat of it has no effect. */
 export type RecordDecision = z.infer<typeof RecordDecision>;
 
 /** The state that all readers of the control stream agree on. */
@@ -166,9 +166,9 @@
 /** The state that all readers of the control stream agree on. */
 export type ControlSnapshot = z.infer<typeof ControlSnapshot>;
 
-/** The state as of an earlier offset, for readers with none. */
+/** A snapshot of the state, for readers that start without any. */
 export const CheckpointRecord = z.object({
-  ...Header,
+  ...RecordHeader,
   kind: z.literal("checkpoint"),
   state: ControlSnapshot,
 });
@@ -197,16 +197,16 @@
 
 /** A node is about to make a non-idempotent call. */
 export const IntentRecord = z.object({
-  ...Header,
+  ...RecordHeader,
   kind: z.literal("intent"),
   /** Hash of client account, service and idempotency key. */
   key: z.string(),
   bodyHash: z.string(),
 });
 
-/** How a non-idempotent call ended. */
+/** The outcome of a non-idempotent call. */
 export const OutcomeRecord = z.object({
-  ...Header,
+  ...RecordHeader,
   kind: z.literal("outcome"),
   key: z.string(),
   /** Id of the intent. */
