--- a/packages/relay/src/serving/request-handlers.ts
+++ b/packages/relay/src/serving/request-handlers.ts
@@ -246,9 +246,7 @@
     progress.longestGapMs = Math.max(progress.longestGapMs, gapMs);
   }
 
-  /**
-   * Forwards an error response to a stream request: a body, not a stream.
-   */
+  /** Forwards an error response to a stream request: a body, not a stream. */
   async #forwardErrorResponse(
     request: RelayedRequest,
     progress: StreamProgress,
