--- a/packages/cli/src/command-line.ts
+++ b/packages/cli/src/command-line.ts
@@ -1,5 +1,5 @@
 /**
- * The command line of `zinniahill`: all commands by name.
+ * Registers every command of the `zinniahill` command line.
  *
  * @module
  */
@@ -33,7 +33,7 @@
   ExplainCommand,
 ];
 
-/** Creates the command line. */
+/** Creates the command line with all of its commands. */
 export function createCommandLine(): Cli {
   const cli = new Cli({
     binaryName: "zinniahill",
--- a/packages/cli/src/commands/administration-command.ts
+++ b/packages/cli/src/commands/administration-command.ts
@@ -1,5 +1,5 @@
 /**
- * What all commands share that call the administration interface.
+ * Base class and helpers of the commands that call the administration API.
  *
  * @module
  */
@@ -18,13 +18,13 @@
   refused: ExitCode.refused,
 } as const;
 
-/** Writes a fault and returns the exit code for it. */
-export function reportCallError(command: Command, fault: CallError): ExitCode {
-  command.context.stderr.write(`zinniahill: ${fault.message}\n`);
-  return EXIT_CODES[fault.kind];
+/** Prints a failed call and returns its exit code. */
+export function reportCallError(command: Command, error: CallError): ExitCode {
+  command.context.stderr.write(`zinniahill: ${error.message}\n`);
+  return EXIT_CODES[error.kind];
 }
 
-/** Reads a file that the command line names. */
+/** Reads a file that was named on the command line. */
 export function readInputFile(path: string): string {
   try {
     return readFileSync(path, "utf8");
@@ -33,7 +33,7 @@
   }
 }
 
-/** Reads a whole number that the command line gives. */
+/** Parses the value of an option as a whole number. */
 export function parseCount(option: string, text: string): number {
   if (!/^\d+$/.test(text)) {
     throw new UsageError(`${option}: expected a whole number, found "${text}"`);
@@ -41,26 +41,26 @@
   return Number(text);
 }
 
-/** A command that calls a node's administration interface. */
+/** A command that calls the administration API of a node. */
 export abstract class AdministrationCommand extends Command {
   admin = Option.String("--admin", {
     required: true,
     description: "Administration address of a node, such as 127.0.0.1:7101",
   });
 
-  /** Makes one administration call. */
-  protected call<Reply>(
+  /** Calls the administration API. */
+  protected call<ResponseBody>(
     method: "GET" | "POST",
     path: string,
-    schema: z.ZodType<Reply>,
+    schema: z.ZodType<ResponseBody>,
     body?: unknown,
-  ): Promise<Result<Reply, CallError>> {
+  ): Promise<Result<ResponseBody, CallError>> {
     const token = this.context.env[TOKEN_VARIABLE] ?? "";
     const address = this.admin;
     return callNode({ address, token, method, path, schema, body });
   }
 
-  /** Writes one line to the standard output. */
+  /** Writes a line to standard output. */
   protected print(line: string): void {
     this.context.stdout.write(`${line}\n`);
   }
--- a/packages/cli/src/commands/check.ts
+++ b/packages/cli/src/commands/check.ts
@@ -8,12 +8,12 @@
 import { ExitCode } from "../exit-code.ts";
 import { readInputFile } from "./administration-command.ts";
 
-/** Checks a rules file; needs no node. */
+/** Checks a rules file locally, without a node. */
 export class CheckCommand extends Command {
   static override paths = [["check"]];
   static override usage = Command.Usage({
     description: "Check a rules file without publishing it.",
-    details: "Prints every fault with its line number.",
+    details: "Prints every error with its line number.",
     examples: [["Check a file", "$0 check rules.txt"]],
   });
 
--- a/packages/cli/src/commands/dump.ts
+++ b/packages/cli/src/commands/dump.ts
@@ -1,5 +1,5 @@
 /**
- * `zinniahill dump`: the state of a node.
+ * `zinniahill dump`: prints the state of a node.
  *
  * @module
  */
@@ -22,13 +22,13 @@
   });
 
   override async execute(): Promise<ExitCode> {
-    const reply = await this.call("GET", "/admin/dump", z.unknown());
-    return reply.match({
+    const result = await this.call("GET", "/admin/dump", z.unknown());
+    return result.match({
       Ok: (state) => {
         this.print(JSON.stringify(state, null, INDENT));
         return ExitCode.success;
       },
-      Err: (fault) => reportCallError(this, fault),
+      Err: (error) => reportCallError(this, error),
     });
   }
 }
--- a/packages/cli/src/commands/explain.ts
+++ b/packages/cli/src/commands/explain.ts
@@ -1,5 +1,5 @@
 /**
- * `zinniahill explain`: says from logs what became of a request.
+ * `zinniahill explain`: explains the course of a request from logs.
  *
  * @module
  */
@@ -9,14 +9,14 @@
 import { type LogLine, parseLogLine } from "../log-line.ts";
 import { readInputFile } from "./administration-command.ts";
 
-/** Explains one request; needs no node. */
+/** Explains a request from log files, without a node. */
 export class ExplainCommand extends Command {
   static override paths = [["explain"]];
   static override usage = Command.Usage({
-    description: "Explain from the logs of nodes what became of a request.",
+    description: "Explain what happened to a request from the logs of nodes.",
     details:
-      "Prints what decided the request and what its nodes learned around that " +
-      "time. A damaged line is reported and skipped.",
+      "Prints what decided the request, and the state changes that its nodes " +
+      "logged around that time. Malformed lines are reported and skipped.",
     examples: [["Explain a request", "$0 explain 6401b707f0040462 node-*.log"]],
   });
 
@@ -27,7 +27,7 @@
     const lines = this.files.flatMap((file) => this.#readLines(file));
     const { findings, context } = explainRequest(this.id, lines);
     if (findings.length === 0) {
-      throw new UsageError(`no line of the logs names request ${this.id}`);
+      throw new UsageError(`no log line mentions request ${this.id}`);
     }
     const { stdout } = this.context;
     stdout.write(`request ${this.id}\n`);
@@ -47,8 +47,8 @@
         Ok: (line) => {
           lines.push(line);
         },
-        Err: (fault) => {
-          this.context.stderr.write(`${file}:${index + 1}: ${fault}\n`);
+        Err: (message) => {
+          this.context.stderr.write(`${file}:${index + 1}: ${message}\n`);
         },
       });
     });
--- a/packages/cli/src/commands/groups.ts
+++ b/packages/cli/src/commands/groups.ts
@@ -1,5 +1,5 @@
 /**
- * `zinniahill groups`: the groups and why one is not served.
+ * `zinniahill groups`: lists the groups and why any of them is not served.
  *
  * @module
  */
@@ -16,22 +16,23 @@
   groups: z.array(GroupState.extend({ obstacle: z.string().nullable() })),
 });
 
-/** Lists the groups as one node sees them. */
+/** Lists the groups as seen by one node. */
 export class GroupsCommand extends AdministrationCommand {
   static override paths = [["groups"]];
   static override usage = Command.Usage({
-    description: "List the groups, and why one is not served by this node.",
+    description:
+      "List the groups, and why this node does not serve any of them.",
     examples: [["List the groups", "$0 groups --admin 127.0.0.1:7101"]],
   });
 
   override async execute(): Promise<ExitCode> {
-    const reply = await this.call("GET", "/admin/groups", GroupList);
-    return reply.match({
+    const result = await this.call("GET", "/admin/groups", GroupList);
+    return result.match({
       Ok: ({ groups }) => {
         groups.forEach((group) => this.#printGroup(group));
         return ExitCode.success;
       },
-      Err: (fault) => reportCallError(this, fault),
+      Err: (error) => reportCallError(this, error),
     });
   }
 
--- a/packages/cli/src/commands/hash-key.ts
+++ b/packages/cli/src/commands/hash-key.ts
@@ -1,5 +1,5 @@
 /**
- * `zinniahill hash-key`: the form of an API key that rules hold.
+ * `zinniahill hash-key`: prints the hash of an API key for use in rules.
  *
  * @module
  */
@@ -12,9 +12,9 @@
 export class HashKeyCommand extends Command {
   static override paths = [["hash-key"]];
   static override usage = Command.Usage({
-    description: "Print the hash of an API key, as rules hold it.",
+    description: "Print the hash of an API key for use in rules.",
     details: `The key is read from ${API_KEY_VARIABLE}, so that it does not ` +
-      "appear in a list of processes.",
+      "appear in process listings.",
     examples: [["Print the hash", "$0 hash-key"]],
   });
 
--- a/packages/cli/src/commands/lookup.ts
+++ b/packages/cli/src/commands/lookup.ts
@@ -1,5 +1,5 @@
 /**
- * `zinniahill lookup`: which address callers should use.
+ * `zinniahill lookup`: prints the address that callers should use.
  *
  * @module
  */
@@ -9,15 +9,15 @@
 import { ExitCode } from "../exit-code.ts";
 import { reportCallError } from "./administration-command.ts";
 
-/** Asks any node which address to use. */
+/** Asks a node which address callers should use. */
 export class LookupCommand extends Command {
   static override paths = [["lookup"]];
   static override usage = Command.Usage({
     description: "Ask a node which address callers should use.",
     examples: [
-      ["Ask", "$0 lookup --public 127.0.0.1:7001"],
+      ["Look up an address", "$0 lookup --public 127.0.0.1:7001"],
       [
-        "Ask for a data centre",
+        "Look up an address for a data centre",
         "$0 lookup --public 127.0.0.1:7001 --data-centre dc-1",
       ],
     ],
@@ -35,21 +35,21 @@
     const query = this.dataCentre === undefined
       ? ""
       : `?data_centre=${encodeURIComponent(this.dataCentre)}`;
-    const reply = await callNode({
+    const result = await callNode({
       address: this.public,
       token: "",
       method: "GET",
       path: `/v1/lookup${query}`,
       schema: LookupReply,
     });
-    return reply.match({
+    return result.match({
       Ok: ({ address, dataCentre, validMs }) => {
         this.context.stdout.write(
           `address=${address} data_centre=${dataCentre} valid_ms=${validMs}\n`,
         );
         return ExitCode.success;
       },
-      Err: (fault) => reportCallError(this, fault),
+      Err: (error) => reportCallError(this, error),
     });
   }
 }
--- a/packages/cli/src/commands/publish.ts
+++ b/packages/cli/src/commands/publish.ts
@@ -1,5 +1,5 @@
 /**
- * `zinniahill publish`: publishes a rules file from a named version.
+ * `zinniahill publish`: publishes a rules file based on a given version.
  *
  * @module
  */
@@ -15,19 +15,20 @@
   reportCallError,
 } from "./administration-command.ts";
 
-const Accepted = z.object({ version: z.number() });
-const Conflict = z.object({ version: z.number(), text: z.string() });
+const PublishResponse = z.object({ version: z.number() });
+const ConflictResponse = z.object({ version: z.number(), text: z.string() });
 const CONFLICT_STATUS = 409;
-/** The line that `show` puts first; it would be out of date once published. */
-const SHOWN_HEADER = /^# version \d+, published by .*\r?\n/;
+/** First line of the output of `show`; publishing makes it out of date. */
+const VERSION_COMMENT = /^# version \d+, published by .*\r?\n/;
 
 /** Publishes a rules file. */
 export class PublishCommand extends AdministrationCommand {
   static override paths = [["publish"]];
   static override usage = Command.Usage({
-    description: "Publish a rules file, made from a named version.",
-    details: "When somebody else published first, nothing is published; the " +
-      "version and the text in force are printed, and the exit code is 3.",
+    description: "Publish a rules file that is based on a given version.",
+    details:
+      "If another version was published first, nothing is published; the " +
+      "version and text in force are printed, and the exit code is 3.",
     examples: [
       [
         "Publish the first rules",
@@ -43,16 +44,16 @@
   file = Option.String();
   from = Option.String("--from", {
     required: true,
-    description: "Version that the file was made from; 0 when there is none",
+    description: "Version that the file is based on; 0 if there is none",
   });
   author = Option.String("--author", {
     required: true,
-    description: "Who publishes",
+    description: "Name of the operator",
   });
 
   override async execute(): Promise<ExitCode> {
-    const basis = parseCount("--from", this.from);
-    const text = readInputFile(this.file).replace(SHOWN_HEADER, "");
+    const baseVersion = parseCount("--from", this.from);
+    const text = readInputFile(this.file).replace(VERSION_COMMENT, "");
     const faults = parseRules(text).match({ Ok: () => [], Err: (all) => all });
     for (const { line, message } of faults) {
       this.context.stderr.write(`${this.file}:${line}: ${message}\n`);
@@ -60,28 +61,33 @@
     if (faults.length > 0) {
       return ExitCode.usage;
     }
-    const reply = await this.call("POST", "/admin/configuration", Accepted, {
-      basis,
-      text,
-      author: this.author,
-    });
-    return reply.match({
+    const result = await this.call(
+      "POST",
+      "/admin/configuration",
+      PublishResponse,
+      {
+        basis: baseVersion,
+        text,
+        author: this.author,
+      },
+    );
+    return result.match({
       Ok: ({ version }) => {
         this.print(`version ${version} is accepted`);
         return ExitCode.success;
       },
-      Err: (fault) => this.#reportConflict(fault),
+      Err: (error) => this.#reportConflict(error),
     });
   }
 
-  #reportConflict(fault: CallError): ExitCode {
-    const conflict = Conflict.safeParse(
-      fault.kind === "refused" && fault.status === CONFLICT_STATUS
-        ? fault.body
+  #reportConflict(error: CallError): ExitCode {
+    const conflict = ConflictResponse.safeParse(
+      error.kind === "refused" && error.status === CONFLICT_STATUS
+        ? error.body
         : undefined,
     );
     if (!conflict.success) {
-      return reportCallError(this, fault);
+      return reportCallError(this, error);
     }
     const { version, text } = conflict.data;
     this.context.stderr.write(
--- a/packages/cli/src/commands/send.ts
+++ b/packages/cli/src/commands/send.ts
@@ -1,5 +1,5 @@
 /**
- * `zinniahill send`: sends a chat request and prints its stream.
+ * `zinniahill send`: sends a chat request and prints the response stream.
  *
  * @module
  */
@@ -22,13 +22,13 @@
 });
 const OK_STATUS = 200;
 const DATA_PREFIX = "data: ";
-const END_DATA = "[DONE]";
+const END_MARKER = "[DONE]";
 
 /** Sends a chat request to a node. */
 export class SendCommand extends Command {
   static override paths = [["send"]];
   static override usage = Command.Usage({
-    description: "Send a chat request and print its stream.",
+    description: "Send a chat request and print the response stream.",
     details: `The API key is read from ${API_KEY_VARIABLE}.`,
     examples: [
       [
@@ -51,42 +51,45 @@
     description: "urgent, normal or batch",
   });
   maxTokens = Option.String("--max-tokens", "64", {
-    description: "Most tokens that the answer may have",
+    description: "Maximum number of tokens in the response",
   });
 
   override async execute(): Promise<ExitCode> {
     const maxTokens = parseCount("--max-tokens", this.maxTokens);
     try {
-      return await this.#stream(maxTokens);
-    } catch (failure) {
-      const message = failure instanceof Error ? failure.message : "failed";
+      return await this.#streamResponse(maxTokens);
+    } catch (error) {
+      const message = error instanceof Error ? error.message : "request failed";
       this.context.stderr.write(`zinniahill: ${this.public}: ${message}\n`);
       return ExitCode.unreachable;
     }
   }
 
-  async #stream(maxTokens: number): Promise<ExitCode> {
-    const reply = await request(`http://${this.public}/v1/chat/completions`, {
-      method: "POST",
-      headers: {
-        "authorization": `Bearer ${this.context.env[API_KEY_VARIABLE] ?? ""}`,
-        "content-type": "application/json",
-        "x-rank": this.rank,
+  async #streamResponse(maxTokens: number): Promise<ExitCode> {
+    const response = await request(
+      `http://${this.public}/v1/chat/completions`,
+      {
+        method: "POST",
+        headers: {
+          "authorization": `Bearer ${this.context.env[API_KEY_VARIABLE] ?? ""}`,
+          "content-type": "application/json",
+          "x-rank": this.rank,
+        },
+        body: JSON.stringify({
+          model: this.model,
+          stream: true,
+          max_tokens: maxTokens,
+          messages: [{ role: "user", content: this.prompt }],
+        }),
       },
-      body: JSON.stringify({
-        model: this.model,
-        stream: true,
-        max_tokens: maxTokens,
-        messages: [{ role: "user", content: this.prompt }],
-      }),
-    });
-    if (reply.statusCode !== OK_STATUS) {
-      return this.#reportRefusal(await reply.body.json());
+    );
+    if (response.statusCode !== OK_STATUS) {
+      return this.#reportRefusal(await response.body.json());
     }
-    let rest = "";
-    for await (const bytes of reply.body) {
-      const events = (rest + String(bytes)).split("\n\n");
-      rest = events.pop() ?? "";
+    let remainder = "";
+    for await (const bytes of response.body) {
+      const events = (remainder + String(bytes)).split("\n\n");
+      remainder = events.pop() ?? "";
       for (const event of events) {
         const exitCode = this.#printEvent(event);
         if (exitCode !== undefined) {
@@ -94,18 +97,20 @@
         }
       }
     }
-    this.context.stderr.write("\nzinniahill: the stream ended early\n");
+    this.context.stderr.write(
+      "\nzinniahill: the response stream ended early\n",
+    );
     return ExitCode.refused;
   }
 
-  /** Prints one event; returns an exit code when the answer has ended. */
+  /** Prints an event; returns an exit code at the end of the response. */
   #printEvent(event: string): ExitCode | undefined {
     const start = event.indexOf(DATA_PREFIX);
     if (start < 0) {
       return undefined;
     }
     const data = event.slice(start + DATA_PREFIX.length);
-    if (data === END_DATA) {
+    if (data === END_MARKER) {
       this.context.stdout.write("\n");
       return ExitCode.success;
     }
@@ -124,7 +129,7 @@
     const text = refusal.success
       ? `${refusal.data.error.code}: ${refusal.data.error.message} ` +
         `(verdict ${refusal.data.error.verdict})`
-      : "the node sent a reply that is not known";
+      : "unexpected response from the node";
     this.context.stderr.write(`zinniahill: ${text}\n`);
     return ExitCode.refused;
   }
--- a/packages/cli/src/commands/show.ts
+++ b/packages/cli/src/commands/show.ts
@@ -22,18 +22,18 @@
   });
 
   override async execute(): Promise<ExitCode> {
-    const reply = await this.call(
+    const result = await this.call(
       "GET",
       "/admin/configuration",
       ConfigurationState,
     );
-    return reply.match({
+    return result.match({
       Ok: ({ version, author, text }) => {
         this.print(`# version ${version}, published by ${author || "nobody"}`);
         this.context.stdout.write(text);
         return ExitCode.success;
       },
-      Err: (fault) => reportCallError(this, fault),
+      Err: (error) => reportCallError(this, error),
     });
   }
 }
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -1,5 +1,5 @@
 /**
- * `zinniahill status`: the version in force on every node.
+ * `zinniahill status`: shows the rules version in force on every node.
  *
  * @module
  */
@@ -25,17 +25,17 @@
 const Status = NodeStatus.extend({ peers: z.array(NodeStatus) });
 
 const POLL_INTERVAL_MS = 200;
-const DEFAULT_WAIT_SECONDS = "7";
+const DEFAULT_TIMEOUT_SECONDS = "7";
 const MS_PER_SECOND = 1000;
 
-/** Shows, or waits for, the version in force on every node. */
+/** Shows the rules version in force on every node, or waits for one. */
 export class StatusCommand extends AdministrationCommand {
   static override paths = [["status"]];
   static override usage = Command.Usage({
-    description: "Show the version in force on a node and on its peers.",
+    description: "Show the rules version in force on a node and its peers.",
     details:
-      "With --wait, waits until the version or a later one is in force " +
-      "on all of them; exit code 5 when the time is over.",
+      "With --wait, waits until that version or a later one is in force " +
+      "on all of them; exits with code 5 on timeout.",
     examples: [
       ["Show the versions", "$0 status --admin 127.0.0.1:7101"],
       [
@@ -49,55 +49,56 @@
     description: "Version to wait for",
   });
   nodes = Option.String("--nodes", "1", {
-    description: "Number of nodes that must be there when waiting",
+    description: "Minimum number of nodes when waiting",
   });
-  timeout = Option.String("--timeout", DEFAULT_WAIT_SECONDS, {
-    description: "Longest wait in seconds",
+  timeout = Option.String("--timeout", DEFAULT_TIMEOUT_SECONDS, {
+    description: "Maximum wait in seconds",
   });
 
   override async execute(): Promise<ExitCode> {
-    const wanted = this.wait === undefined
+    const minVersion = this.wait === undefined
       ? 0
       : parseCount("--wait", this.wait);
-    const nodes = parseCount("--nodes", this.nodes);
-    const limitMs = parseCount("--timeout", this.timeout) * MS_PER_SECOND;
+    const minNodes = parseCount("--nodes", this.nodes);
+    const timeoutMs = parseCount("--timeout", this.timeout) * MS_PER_SECOND;
     for (let waitedMs = 0;; waitedMs += POLL_INTERVAL_MS) {
-      const reply = await this.#read();
-      const isMet = this.wait === undefined ||
-        reply.isOk && isInForce(reply.value, wanted, nodes);
-      if (isMet || waitedMs >= limitMs) {
-        return this.#report(reply, isMet);
+      const result = await this.#fetchStatuses();
+      const isSatisfied = this.wait === undefined ||
+        result.isOk && hasVersionInForce(result.value, minVersion, minNodes);
+      if (isSatisfied || waitedMs >= timeoutMs) {
+        return this.#report(result, isSatisfied);
       }
       await setTimeout(POLL_INTERVAL_MS);
     }
   }
 
-  async #read(): Promise<Result<readonly NodeStatus[], CallError>> {
-    const reply = await this.call("GET", "/admin/status", Status);
-    return reply.map(({ peers, ...own }) => [own, ...peers]);
+  async #fetchStatuses(): Promise<Result<readonly NodeStatus[], CallError>> {
+    const result = await this.call("GET", "/admin/status", Status);
+    return result.map(({ peers, ...own }) => [own, ...peers]);
   }
 
   #report(
-    reply: Result<readonly NodeStatus[], CallError>,
-    isMet: boolean,
+    result: Result<readonly NodeStatus[], CallError>,
+    isSatisfied: boolean,
   ): ExitCode {
-    if (reply.isErr) {
-      return reportCallError(this, reply.error);
+    if (result.isErr) {
+      return reportCallError(this, result.error);
     }
-    for (const { node, version, logReachable, stopping } of reply.value) {
+    for (const { node, version, logReachable, stopping } of result.value) {
       this.print(
         `node=${node} version=${version} log_reachable=${logReachable} ` +
           `stopping=${stopping}`,
       );
     }
-    return isMet ? ExitCode.success : ExitCode.timeout;
+    return isSatisfied ? ExitCode.success : ExitCode.timeout;
   }
 }
 
-function isInForce(
-  all: readonly NodeStatus[],
-  version: number,
-  nodes: number,
+function hasVersionInForce(
+  statuses: readonly NodeStatus[],
+  minVersion: number,
+  minNodes: number,
 ): boolean {
-  return all.length >= nodes && all.every((node) => node.version >= version);
+  return statuses.length >= minNodes &&
+    statuses.every((node) => node.version >= minVersion);
 }
--- a/packages/cli/src/exit-code.ts
+++ b/packages/cli/src/exit-code.ts
@@ -1,23 +1,23 @@
 /**
- * Exit codes of the command.
+ * Exit codes of the `zinniahill` command.
  *
  * @module
  */
 
-/** What the command's exit code means. */
+/** Exit codes by meaning. */
 export const ExitCode = {
-  /** It was done. */
+  /** The command succeeded. */
   success: 0,
-  /** The command line, or the file it names, is wrong. */
+  /** The command line, or a file that it names, is invalid. */
   usage: 1,
-  /** The node refused. */
+  /** The node refused the request, or its response was not usable. */
   refused: 2,
-  /** Somebody else published first. */
+  /** Another version was published first. */
   conflict: 3,
   /** The node cannot be reached. */
   unreachable: 4,
-  /** The wait ended before what was waited for came about. */
+  /** The awaited condition was not met in time. */
   timeout: 5,
 } as const;
-/** What the command's exit code means. */
+/** Exit code of a command. */
 export type ExitCode = typeof ExitCode[keyof typeof ExitCode];
--- a/packages/cli/src/explanation.ts
+++ b/packages/cli/src/explanation.ts
@@ -1,27 +1,27 @@
 /**
- * Explains from logs what became of a request.
+ * Reconstructs the course of a request from the logs of nodes.
  *
  * @module
  */
 import type { LogLine } from "./log-line.ts";
 
-/** What the logs say of one request. */
+/** What the logs show about one request. */
 export interface Explanation {
-  /** Lines of the request, in order of time. */
+  /** Log lines of the request, sorted by time. */
   readonly lines: readonly LogLine[];
-  /** What nodes learned of the upstreams and groups that it was given to. */
+  /** State changes of its nodes, upstreams and groups around that time. */
   readonly context: readonly LogLine[];
-  /** The outcome and the input that decided it, in one sentence each. */
+  /** One sentence for each log line: what happened and what decided it. */
   readonly findings: readonly string[];
 }
 
-type Finder = (line: LogLine) => string;
+type LineDescriber = (line: LogLine) => string;
 
-/** Changes this long before the request and after it may have decided it. */
-const BEFORE_MS = 3000;
-const AFTER_MS = 1000;
+/** State changes this long before or after a request may have affected it. */
+const CONTEXT_BEFORE_MS = 3000;
+const CONTEXT_AFTER_MS = 1000;
 
-/** Events that change what a node believes of upstreams, peers or the store. */
+/** Changes in a node's view of upstreams, peers and external dependencies. */
 const CONTEXT_EVENTS = new Set([
   "configuration_adopted",
   "dependency_lost",
@@ -40,8 +40,8 @@
   "placement_lost",
 ]);
 
-/** Events that concern every request of a node. */
-const GENERAL_EVENTS = new Set([
+/** Events that affect every request on a node. */
+const NODE_WIDE_EVENTS = new Set([
   "configuration_adopted",
   "dependency_lost",
   "dependency_regained",
@@ -50,99 +50,101 @@
 
 const SUBJECT_FIELDS = ["instance", "group", "lead"] as const;
 
-/** What a refusal of each code was decided by. */
-const REFUSAL_CAUSES: Readonly<Record<string, Finder>> = {
+/** Describes, by refusal code, the input that decided the refusal. */
+const REFUSAL_CAUSES: Readonly<Record<string, LineDescriber>> = {
   "unauthorized": (line) =>
-    `version ${read(line, "version")}, read ${
-      read(line, "configuration_age_ms")
+    `version ${getField(line, "version")}, read ${
+      getField(line, "configuration_age_ms")
     } ms before, has no account with the key`,
   "not-found": (line) =>
-    `version ${read(line, "version")}, read ${
-      read(line, "configuration_age_ms")
-    } ms before, has no route for ${read(line, "path")}`,
+    `version ${getField(line, "version")}, read ${
+      getField(line, "configuration_age_ms")
+    } ms before, has no route for ${getField(line, "path")}`,
   "stale-configuration": (line) =>
-    `the configuration was ${read(line, "configuration_age_ms")} ms old`,
+    `the configuration was ${getField(line, "configuration_age_ms")} ms old`,
 };
 
-/** What each event of a request says. */
-const FINDERS: Readonly<Record<string, Finder>> = {
+/** Describes each event of a request. */
+const EVENT_DESCRIBERS: Readonly<Record<string, LineDescriber>> = {
   attempt_failed: (line) =>
-    `the attempt at ${read(line, "instance")} failed (${
-      read(line, "verdict")
-    }): ${read(line, "error")}; the node counted ${
-      read(line, "load")
-    } requests there and ${read(line, "left_ms")} ms were left`,
+    `the attempt at ${getField(line, "instance")} failed (${
+      getField(line, "verdict")
+    }): ${getField(line, "error")}; the node counted ${
+      getField(line, "load")
+    } requests there and ${getField(line, "left_ms")} ms were left`,
   answer_broken: (line) =>
-    `the answer of ${read(line, "instance")} broke off after ${
-      read(line, "events")
-    } events: ${read(line, "error")}`,
+    `the response from ${getField(line, "instance")} broke off after ${
+      getField(line, "events")
+    } events: ${getField(line, "error")}`,
   attempt_repeated: (line) =>
-    `${read(line, "instance")} answered ${
-      read(line, "status")
-    }, so another instance was asked`,
+    `${getField(line, "instance")} answered ${
+      getField(line, "status")
+    }, so another instance was tried`,
   request_answered: (line) =>
-    `answered with ${read(line, "status")} by ${read(line, "instance")} after ${
-      read(line, "attempts")
-    } attempts; first byte after ${read(line, "first_ms")} ms, last after ${
-      read(line, "total_ms")
-    } ms${describeLoad(line)}`,
+    `answered with ${getField(line, "status")} by ${
+      getField(line, "instance")
+    } after ${getField(line, "attempts")} attempts; first byte after ${
+      getField(line, "first_ms")
+    } ms, last after ${getField(line, "total_ms")} ms${describeLoad(line)}`,
   request_refused: (line) => {
-    const code = read(line, "code");
-    const cause = REFUSAL_CAUSES[code]?.(line) ?? read(line, "reason");
-    return `refused with ${read(line, "status")} (${code}, ${
-      read(line, "verdict")
-    }) after ${read(line, "total_ms")} ms: ${cause}`;
+    const code = getField(line, "code");
+    const cause = REFUSAL_CAUSES[code]?.(line) ?? getField(line, "reason");
+    return `refused with ${getField(line, "status")} (${code}, ${
+      getField(line, "verdict")
+    }) after ${getField(line, "total_ms")} ms: ${cause}`;
   },
 };
 
-/** Puts together what logs of several nodes say of a request. */
+/** Explains a request from the logs of several nodes. */
 export function explainRequest(
-  id: string,
-  all: readonly LogLine[],
+  requestId: string,
+  allLines: readonly LogLine[],
 ): Explanation {
-  const lines = all
-    .filter(({ fields }) => fields.get("request") === id)
+  const lines = allLines
+    .filter(({ fields }) => fields.get("request") === requestId)
     .sort((a, b) => a.timestampMs - b.timestampMs);
   const findings = lines.map((line) => {
-    const find = FINDERS[line.event] ?? (({ event }: LogLine) => event);
-    return `${line.time} ${line.node}: ${find(line)}`;
+    const describeLine = EVENT_DESCRIBERS[line.event] ??
+      (({ event }: LogLine) => event);
+    return `${line.time} ${line.node}: ${describeLine(line)}`;
   });
-  return { lines, context: findContext(lines, all), findings };
+  return { lines, context: selectContext(lines, allLines), findings };
 }
 
-function findContext(
+function selectContext(
   lines: readonly LogLine[],
-  all: readonly LogLine[],
+  allLines: readonly LogLine[],
 ): LogLine[] {
   const [first] = lines;
   const last = lines.at(-1);
   if (first === undefined || last === undefined) {
     return [];
   }
-  const total = Number(last.fields.get("total_ms") ?? 0);
-  const begin = Math.min(first.timestampMs, last.timestampMs - total) -
-    BEFORE_MS;
+  const totalMs = Number(last.fields.get("total_ms") ?? 0);
+  const startMs = Math.min(first.timestampMs, last.timestampMs - totalMs) -
+    CONTEXT_BEFORE_MS;
   const subjects = new Set(
     lines.flatMap(({ fields }) =>
       SUBJECT_FIELDS.map((field) => fields.get(field))
     ),
   );
   const nodes = new Set(lines.map(({ node }) => node));
-  const isAbout = ({ event, node, fields }: LogLine) =>
-    (GENERAL_EVENTS.has(event) && nodes.has(node)) ||
+  const isRelevant = ({ event, node, fields }: LogLine) =>
+    (NODE_WIDE_EVENTS.has(event) && nodes.has(node)) ||
     SUBJECT_FIELDS.some((field) => {
       const value = fields.get(field);
       return value !== undefined && subjects.has(value);
     });
-  return all
+  return allLines
     .filter((line) =>
-      CONTEXT_EVENTS.has(line.event) && line.timestampMs >= begin &&
-      line.timestampMs <= last.timestampMs + AFTER_MS && isAbout(line)
+      CONTEXT_EVENTS.has(line.event) && line.timestampMs >= startMs &&
+      line.timestampMs <= last.timestampMs + CONTEXT_AFTER_MS &&
+      isRelevant(line)
     )
     .sort((a, b) => a.timestampMs - b.timestampMs);
 }
 
-/** How full the node took the upstream for, and how full it was. */
+/** Compares the load that the node counted with the upstream's own count. */
 function describeLoad({ fields }: LogLine): string {
   const load = fields.get("load");
   const upstreamLoad = fields.get("upstream_load");
@@ -151,6 +153,6 @@
     : `; the node had counted ${load} requests there, the upstream ${upstreamLoad}`;
 }
 
-function read({ fields }: LogLine, name: string): string {
+function getField({ fields }: LogLine, name: string): string {
   return fields.get(name) ?? "unknown";
 }
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' command.
+ * The `zinniahill` command for operators.
  *
  * @module
  */
--- a/packages/cli/src/log-line.ts
+++ b/packages/cli/src/log-line.ts
@@ -1,11 +1,11 @@
 /**
- * Reads the lines that nodes log.
+ * Parses the log lines of nodes.
  *
  * @module
  */
 import { Result } from "true-myth";
 
-/** One event as a node logged it. */
+/** An event that a node logged. */
 export interface LogLine {
   /** Milliseconds since 1970-01-01T00:00:00Z. */
   readonly timestampMs: number;
@@ -15,35 +15,35 @@
   readonly fields: ReadonlyMap<string, string>;
 }
 
-const PAIR = /([a-z_]+)=("(?:[^"\\]|\\.)*"|[^\s"]+)/gy;
-const FIRST_PAIR = /(?:^|\s)(time=\S+ level=)/;
+const FIELD_PATTERN = /([a-z_]+)=("(?:[^"\\]|\\.)*"|[^\s"]+)/gy;
+const FIRST_FIELD_PATTERN = /(?:^|\s)(time=\S+ level=)/;
 
-/** Parses a line; text before its first pair, such as a prefix, is ignored. */
+/** Parses a log line; a prefix before its first field is ignored. */
 export function parseLogLine(text: string): Result<LogLine, string> {
-  const begin = FIRST_PAIR.exec(text);
-  if (begin === null) {
-    return Result.err("not a line of a node");
+  const firstField = FIRST_FIELD_PATTERN.exec(text);
+  if (firstField === null) {
+    return Result.err("not a log line of a node");
   }
   const fields = new Map<string, string>();
-  const line = text.slice(begin.index).trim();
+  const line = text.slice(firstField.index).trim();
   for (let offset = 0; offset < line.length;) {
-    PAIR.lastIndex = offset;
-    const pair = PAIR.exec(line);
-    if (pair === null) {
-      return Result.err(`damaged after ${offset} characters`);
+    FIELD_PATTERN.lastIndex = offset;
+    const match = FIELD_PATTERN.exec(line);
+    if (match === null) {
+      return Result.err(`malformed field at offset ${offset}`);
     }
-    const value = unquote(pair[2]!);
+    const value = unquote(match[2]!);
     if (value.isErr) {
       return Result.err(value.error);
     }
-    fields.set(pair[1]!, value.value);
-    offset = PAIR.lastIndex + 1;
+    fields.set(match[1]!, value.value);
+    offset = FIELD_PATTERN.lastIndex + 1;
   }
   const time = fields.get("time") ?? "";
   const timestampMs = Date.parse(time);
   const event = fields.get("event");
   return event === undefined || Number.isNaN(timestampMs)
-    ? Result.err("a line without a time or an event")
+    ? Result.err("missing event, or missing or invalid time")
     : Result.ok({
       timestampMs,
       time,
@@ -60,6 +60,6 @@
   try {
     return Result.ok(String(JSON.parse(text)));
   } catch {
-    return Result.err(`damaged value ${text}`);
+    return Result.err(`malformed quoted value ${text}`);
   }
 }
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * The binary `zinniahill`.
+ * Entry point of the `zinniahill` binary.
  *
  * @module
  */
--- a/packages/cli/src/node-call.ts
+++ b/packages/cli/src/node-call.ts
@@ -1,5 +1,5 @@
 /**
- * Calls from the command to a node over HTTP.
+ * HTTP calls to a node.
  *
  * @module
  */
@@ -7,18 +7,18 @@
 import { request } from "undici";
 import * as z from "zod";
 
-/** A call to a node. */
-export interface NodeCall<Reply> {
+/** An HTTP call to a node. */
+export interface NodeCall<ResponseBody> {
   readonly address: string;
-  /** Bearer token, or an empty text for none. */
+  /** Bearer token, or an empty string for none. */
   readonly token: string;
   readonly method: "GET" | "POST";
   readonly path: string;
   readonly body?: unknown;
-  readonly schema: z.ZodType<Reply>;
+  readonly schema: z.ZodType<ResponseBody>;
 }
 
-/** Why a call gave no usable reply. */
+/** Why a call returned no valid response. */
 export type CallError =
   | { readonly kind: "unreachable"; readonly message: string }
   | {
@@ -28,7 +28,7 @@
     readonly body: unknown;
   };
 
-/** The documented form of a refusal. */
+/** Body of a refusal, as documented. */
 const RefusalBody = z.object({
   error: z.object({
     code: z.string(),
@@ -40,13 +40,13 @@
 const OK_STATUS = 200;
 const TIMEOUT_MS = 30_000;
 
-/** Makes one call and checks the reply against its schema. */
-export async function callNode<Reply>(
-  call: NodeCall<Reply>,
-): Promise<Result<Reply, CallError>> {
+/** Calls a node and validates the response body against the schema. */
+export async function callNode<ResponseBody>(
+  call: NodeCall<ResponseBody>,
+): Promise<Result<ResponseBody, CallError>> {
   const { address, token } = call;
   try {
-    const reply = await request(`http://${address}${call.path}`, {
+    const response = await request(`http://${address}${call.path}`, {
       method: call.method,
       headers: {
         ...(token === "" ? {} : { authorization: `Bearer ${token}` }),
@@ -55,16 +55,16 @@
       body: call.body === undefined ? null : JSON.stringify(call.body),
       signal: AbortSignal.timeout(TIMEOUT_MS),
     });
-    const body: unknown = await reply.body.json();
-    if (reply.statusCode !== OK_STATUS) {
-      return Result.err(createResponseError(reply.statusCode, body));
+    const body: unknown = await response.body.json();
+    if (response.statusCode !== OK_STATUS) {
+      return Result.err(createResponseError(response.statusCode, body));
     }
     const parsed = call.schema.safeParse(body);
     return parsed.success
       ? Result.ok(parsed.data)
-      : Result.err(createResponseError(reply.statusCode, body));
-  } catch (failure) {
-    const message = failure instanceof Error ? failure.message : "failed";
+      : Result.err(createResponseError(response.statusCode, body));
+  } catch (error) {
+    const message = error instanceof Error ? error.message : "request failed";
     return Result.err({
       kind: "unreachable",
       message: `${address}: ${message || "connection refused"}`,
@@ -76,7 +76,7 @@
   const refusal = RefusalBody.safeParse(body);
   const message = refusal.success
     ? describeRefusal(refusal.data)
-    : `unexpected reply with status ${status}`;
+    : `unexpected response with status ${status}`;
   return { kind: "refused", status, message, body };
 }
 
--- a/packages/cli/test/command-line.test.ts
+++ b/packages/cli/test/command-line.test.ts
@@ -14,7 +14,7 @@
 
 const TOKEN = "test-admin-token-0001";
 const API_KEY = "test-key-north";
-const directory = mkdtempSync(join(tmpdir(), "zinniahill-cli-"));
+const temporaryDirectory = mkdtempSync(join(tmpdir(), "zinniahill-cli-"));
 
 interface CommandResult {
   readonly code: number;
@@ -23,19 +23,19 @@
 }
 
 async function runCommand(
-  words: readonly string[],
-  variables: Record<string, string> = {},
+  args: readonly string[],
+  env: Record<string, string> = {},
 ): Promise<CommandResult> {
   const stdout = new PassThrough();
   const stderr = new PassThrough();
-  const code = await createCommandLine().run([...words], {
+  const code = await createCommandLine().run([...args], {
     stdin: process.stdin,
     stdout,
     stderr,
     env: {
       ZINNIAHILL_TOKEN: TOKEN,
       ZINNIAHILL_API_KEY: API_KEY,
-      ...variables,
+      ...env,
     },
   });
   return {
@@ -46,7 +46,7 @@
 }
 
 function writeRules(name: string, text: string): string {
-  const file = join(directory, name);
+  const file = join(temporaryDirectory, name);
   writeFileSync(file, text);
   return file;
 }
@@ -72,7 +72,7 @@
       expect(result).toMatchObject({ code: ExitCode.success, errors: "" });
     });
 
-    it("names the line of a rule without a comment", async () => {
+    it("reports the line number of a rule without a comment", async () => {
       const file = writeRules(
         "bare.txt",
         "# a heading\nmodel chat version=1 hosts=2 replicas=1\n",
@@ -82,7 +82,7 @@
       expect(result.errors).toContain(`${file}:2: expected a comment`);
     });
 
-    it("names every fault of a line, not only the first", async () => {
+    it("reports every error in a line, not only the first", async () => {
       const file = writeRules(
         "faults.txt",
         "model chat version=1 hosts=none replicas=x # asked by the tests\n",
@@ -92,25 +92,28 @@
       expect(errors).toContain("model replicas: expected a whole number");
     });
 
-    it("says that a file cannot be read", async () => {
-      const result = await runCommand(["check", join(directory, "absent")]);
+    it("fails if the file cannot be read", async () => {
+      const result = await runCommand([
+        "check",
+        join(temporaryDirectory, "absent"),
+      ]);
       expect(result.code).toBe(ExitCode.usage);
     });
   });
 
   describe("hash-key", () => {
-    it("prints the form that rules hold and never the key", async () => {
+    it("prints the hash in the form used in rules, never the key", async () => {
       const { output } = await runCommand(["hash-key"]);
       expect(output).toMatch(/^sha256:[0-9a-f]{64}\n$/);
     });
 
-    it("refuses an empty key", async () => {
+    it("rejects an empty key", async () => {
       const result = await runCommand(["hash-key"], { ZINNIAHILL_API_KEY: "" });
       expect(result.code).toBe(ExitCode.usage);
     });
   });
 
-  describe("with a node", () => {
+  describe("with a running node", () => {
     const clock = new SystemClock();
     const platform = new MemoryPlatform(clock);
     const transports = new MemoryTransports(platform.network);
@@ -179,7 +182,7 @@
       await platform.stop();
     });
 
-    it("publishes, shows, and reports a conflict with the text", async () => {
+    it("publishes and shows rules; prints the text on a conflict", async () => {
       const publish = ["publish", rules, "--admin", admin, "--author", "ops"];
       const first = await runCommand([...publish, "--from", "0"]);
       expect(first).toMatchObject({ code: ExitCode.success, errors: "" });
@@ -190,23 +193,28 @@
       expect(shown.output).toContain("# asked by the tests");
     });
 
-    it("does not publish the version line of a file that was shown", async () => {
+    it("does not publish the version comment that show prints", async () => {
       const shown = await runCommand(["show", "--admin", admin]);
       const version = shown.output.match(/^# version (\d+)/)?.[1] ?? "";
       const file = writeRules("shown.txt", shown.output);
       const options = ["--admin", admin, "--author", "ops", "--from", version];
       await runCommand(["publish", file, ...options]);
-      const again = await runCommand(["show", "--admin", admin]);
-      expect(again.output.match(/# version/g)).toHaveLength(1);
+      const shownAgain = await runCommand(["show", "--admin", admin]);
+      expect(shownAgain.output.match(/# version/g)).toHaveLength(1);
     });
 
     it("shows the version in force and waits for it", async () => {
       const status = ["status", "--admin", admin, "--wait"];
-      const met = await runCommand([...status, "1"]);
-      expect(met.code).toBe(ExitCode.success);
-      expect(met.output).toContain("node=node-1");
-      const missed = await runCommand([...status, "999999", "--timeout", "0"]);
-      expect(missed.code).toBe(ExitCode.timeout);
+      const reached = await runCommand([...status, "1"]);
+      expect(reached.code).toBe(ExitCode.success);
+      expect(reached.output).toContain("node=node-1");
+      const timedOut = await runCommand([
+        ...status,
+        "999999",
+        "--timeout",
+        "0",
+      ]);
+      expect(timedOut.code).toBe(ExitCode.timeout);
     });
 
     it("lists groups with the reason why one is not served", async () => {
@@ -218,18 +226,18 @@
       expect(output).toContain("phase=ready");
     });
 
-    it("streams an answer and repeats a refusal's verdict", async () => {
+    it("streams a response, and prints the verdict of a refusal", async () => {
       const send = ["send", "hello", "--public", publicAddress];
-      const answer = await runCommand([...send, "--model", "chat"]);
-      expect(answer.code).toBe(ExitCode.success);
-      expect(answer.output.trim().split(" ")).toHaveLength(64);
+      const response = await runCommand([...send, "--model", "chat"]);
+      expect(response.code).toBe(ExitCode.success);
+      expect(response.output.trim().split(" ")).toHaveLength(64);
       const refused = await runCommand([...send, "--model", "absent"]);
       expect(refused.code).toBe(ExitCode.refused);
       expect(refused.errors).toContain("unknown-model");
       expect(refused.errors).toContain("not-run");
     });
 
-    it("names an address for callers", async () => {
+    it("prints the address that callers should use", async () => {
       const { output } = await runCommand([
         "lookup",
         "--public",
@@ -238,7 +246,7 @@
       expect(output).toContain(`address=${publicAddress}`);
     });
 
-    it("refuses a wrong token and does not repeat it", async () => {
+    it("fails with a wrong token, without printing it", async () => {
       const result = await runCommand(["dump", "--admin", admin], {
         ZINNIAHILL_TOKEN: "wrong-token-000000001",
       });
@@ -246,7 +254,7 @@
       expect(result.errors).not.toContain("wrong-token");
     });
 
-    it("prints a dump without a secret in it", async () => {
+    it("prints a state dump that contains no secrets", async () => {
       const { output } = await runCommand(["dump", "--admin", admin]);
       expect(output).toContain("state");
       expect(output).not.toContain(TOKEN);
@@ -254,16 +262,16 @@
       expect(output).not.toContain(API_KEY);
     });
 
-    it("drains a host and gives it back", async () => {
+    it("drains a host and returns it to service", async () => {
       const drain = ["drain", "host", "host-3", "--admin", admin];
-      const asked = await runCommand([...drain, "--author", "ops"]);
-      expect(asked.code).toBe(ExitCode.success);
+      const drained = await runCommand([...drain, "--author", "ops"]);
+      expect(drained.code).toBe(ExitCode.success);
       expect(node.find("state").control.drainedHosts.has("host-3")).toBe(true);
       await runCommand([...drain, "--author", "ops", "--undo"]);
       expect(node.find("state").control.drainedHosts.has("host-3")).toBe(false);
     });
 
-    it("says that no node answers at an address", async () => {
+    it("reports that no node is reachable at an address", async () => {
       const result = await runCommand([
         "groups",
         "--admin",
--- a/packages/cli/test/explain.test.ts
+++ b/packages/cli/test/explain.test.ts
@@ -18,8 +18,8 @@
 }
 
 describe("parseLogLine", () => {
-  describe("lines of nodes", () => {
-    it("keep values with spaces, and ignore what stands before the time", () => {
+  describe("valid lines", () => {
+    it("keep values with spaces, and ignore text before the time", () => {
       const line = parseLogLine(
         '  1.5 front time=2026-08-28T16:55:40.000Z level=info event=x error="a \\"b\\" c"',
       );
@@ -27,13 +27,13 @@
     });
   });
 
-  describe("damaged lines", () => {
+  describe("malformed lines", () => {
     it.each([
       "no line at all",
       'time=2026-08-28T16:55:40.000Z level=info event=x error="cut o',
       "time=yesterday level=info event=x",
       "time=2026-08-28T16:55:40.000Z level=info",
-    ])("are reported: %s", (text) => {
+    ])("are rejected: %s", (text) => {
       expect(parseLogLine(text).isErr).toBe(true);
     });
   });
@@ -42,7 +42,7 @@
 describe("explainRequest", () => {
   const all = parseAll(LOG);
 
-  it("puts the request's lines in order with what was believed then", () => {
+  it("sorts the request's lines and adds state changes around them", () => {
     const { findings, context } = explainRequest("r1", all);
     expect(findings).toHaveLength(2);
     expect(findings[0]).toContain("the group has stalled");
@@ -51,19 +51,19 @@
       .toEqual(["group_suspected", "group_checked"]);
   });
 
-  it("shows a count of requests that was out of date", () => {
+  it("shows an outdated request count next to the upstream's own", () => {
     const { findings } = explainRequest("r1", all);
     expect(findings[1]).toContain(
       "had counted 3 requests there, the upstream 44",
     );
   });
 
-  it("names the version and its age that decided a refusal", () => {
+  it("names the version that decided a refusal, and its age", () => {
     const { findings } = explainRequest("r2", all);
     expect(findings[0]).toContain("version 11, read 587 ms before");
   });
 
-  it("finds nothing for an id that no line names", () => {
+  it("finds nothing for an ID that no line mentions", () => {
     expect(explainRequest("r9", all).findings).toEqual([]);
   });
 });
--- a/packages/cli/test/operators-page.test.ts
+++ b/packages/cli/test/operators-page.test.ts
@@ -9,7 +9,7 @@
   "utf8",
 );
 
-/** Returns the indented block that begins with a line. */
+/** Returns the indented block that starts with the given line. */
 function findBlock(firstLine: string): string {
   const lines = PAGE.split("\n");
   const start = lines.findIndex((line) => line.startsWith(`    ${firstLine}`));
