--- a/packages/cli/src/commands/groups.ts
+++ b/packages/cli/src/commands/groups.ts
@@ -1,5 +1,5 @@
 /**
- * `zinniahill groups`: lists the groups and why any of them is not served.
+ * `zinniahill groups`: lists the groups and why some are not served.
  *
  * @module
  */
@@ -21,7 +21,7 @@
   static override paths = [["groups"]];
   static override usage = Command.Usage({
     description:
-      "List the groups, and why this node does not serve any of them.",
+      "List the groups, with the reason why one is not served by this node.",
     examples: [["List the groups", "$0 groups --admin 127.0.0.1:7101"]],
   });
 
--- a/packages/cli/src/commands/publish.ts
+++ b/packages/cli/src/commands/publish.ts
@@ -18,7 +18,7 @@
 const PublishResponse = z.object({ version: z.number() });
 const ConflictResponse = z.object({ version: z.number(), text: z.string() });
 const CONFLICT_STATUS = 409;
-/** First line of the output of `show`; publishing makes it out of date. */
+/** First line that `show` prints; removed, as publishing makes it outdated. */
 const VERSION_COMMENT = /^# version \d+, published by .*\r?\n/;
 
 /** Publishes a rules file. */
