--- a/packages/clients/src/engines.ts
+++ b/packages/clients/src/engines.ts
@@ -17,39 +17,39 @@
 import { callJson } from "./http.ts";
 import { TrafficCounter } from "./traffic-counter.ts";
 
-/** A stream of server-sent events from the lead of a group. */
+/** A stream of server-sent events (SSE) from the lead of a group. */
 export interface EngineStream {
-  /** The request id as the engine repeated it. */
+  /** The request id that the engine returned in its response. */
   readonly requestId: string;
   readonly chunks: AsyncIterable<Uint8Array>;
   /** Closes the connection. */
   close(): void;
 }
 
-/** The engines of all model hosts. */
+/** Operations on the engines of all model hosts. */
 export interface Engines extends Service {
-  /** Asks for an engine's status, on a connection of its own. */
+  /** Reads an engine's status, never on a connection used by a stream. */
   probe(
     address: string,
     timeoutMs: number,
     signal?: AbortSignal,
   ): Promise<Result<EngineStatus, Fault>>;
-  /** Gives an order. */
+  /** Sends an order to an engine. */
   sendOrder(
     address: string,
     order: EngineOrder,
     timeoutMs: number,
     signal?: AbortSignal,
   ): Promise<Result<EngineStatus, Fault>>;
-  /** Begins or resumes a stream. */
+  /** Starts or resumes a stream. */
   generate(
     address: string,
     body: GenerateRequest,
     options: GenerateOptions,
   ): Promise<Result<EngineStream, Fault>>;
-  /** Cancels a request. */
+  /** Asks an engine to cancel a request. */
   cancel(address: string, requestId: string): Promise<Result<void, Fault>>;
-  /** Reads changes of the engine's prefix cache. */
+  /** Reads changes of the engine's prefix cache, from a sequence number on. */
   readCacheEvents(
     address: string,
     from: number,
@@ -57,51 +57,54 @@
   ): Promise<Result<CacheEvents, Fault>>;
 }
 
-/** How a stream is begun. */
+/** Options of `generate`. */
 export interface GenerateOptions {
-  /** How long the engine may take to answer with its headers. */
+  /** Time limit for the response headers. */
   readonly timeoutMs: number;
-  /** Whether a new connection must be used. */
+  /** Whether the request is sent on a new connection, not a pooled one. */
   readonly usesNewConnection: boolean;
   readonly signal?: AbortSignal;
 }
 
 const CANCEL_TIMEOUT_MS = 1000;
-const CACHE_TIMEOUT_MS = 1000;
+const CACHE_EVENTS_TIMEOUT_MS = 1000;
 const OK_STATUS = 200;
-/** Statuses by which an engine refuses a request before it runs. */
+/** Statuses with which an engine refuses a request before running it. */
 const REFUSAL_STATUSES = new Set([409, 503]);
 const MAX_REASON_LENGTH = 200;
-/** Without a reason, each close would record a stack of its own. */
+/** Shared reason for aborts, as each default one captures a stack trace. */
 const STREAM_CLOSED = new Error("the stream was closed");
 const JSON_HEADERS = { "content-type": "application/json" };
-/** The callers of the client set the deadlines. */
-const UNLIMITED = { bodyTimeout: 0, headersTimeout: 0 };
+/** The callers set the time limits, so those of undici are disabled. */
+const NO_TIMEOUTS = { bodyTimeout: 0, headersTimeout: 0 };
 
-/** The engines over HTTP. */
+/** HTTP client of the engines. */
 export class EngineClient implements Engines {
   #clock: Clock;
-  #streams: Agent;
-  /** Without keep-alive; a resumed stream must not meet a silent connection. */
-  #newConnections: Agent;
-  /** Probes and orders never share a connection with a stream. */
-  #control: Agent;
+  #streamAgent: Agent;
+  /**
+   * Without keep-alive, as a pooled connection may be dead without notice and
+   * a resumed stream must not be sent on it.
+   */
+  #newConnectionAgent: Agent;
+  /** For probes, orders and other short calls; separate from streams. */
+  #controlAgent: Agent;
 
   constructor(clock: Clock, traffic: TrafficCounter = new TrafficCounter()) {
     this.#clock = clock;
-    this.#streams = traffic.createAgent("streams", UNLIMITED);
-    this.#newConnections = traffic.createAgent("streams", {
-      ...UNLIMITED,
+    this.#streamAgent = traffic.createAgent("streams", NO_TIMEOUTS);
+    this.#newConnectionAgent = traffic.createAgent("streams", {
+      ...NO_TIMEOUTS,
       pipelining: 0,
     });
-    this.#control = traffic.createAgent("probes", UNLIMITED);
+    this.#controlAgent = traffic.createAgent("probes", NO_TIMEOUTS);
   }
 
   async stop(): Promise<void> {
     await Promise.all([
-      this.#streams.destroy(),
-      this.#newConnections.destroy(),
-      this.#control.destroy(),
+      this.#streamAgent.destroy(),
+      this.#newConnectionAgent.destroy(),
+      this.#controlAgent.destroy(),
     ]);
   }
 
@@ -110,7 +113,7 @@
     timeoutMs: number,
     signal?: AbortSignal,
   ): Promise<Result<EngineStatus, Fault>> {
-    return callJson(this.#clock, this.#control, {
+    return callJson(this.#clock, this.#controlAgent, {
       address,
       method: "GET",
       path: "/status",
@@ -126,7 +129,7 @@
     timeoutMs: number,
     signal?: AbortSignal,
   ): Promise<Result<EngineStatus, Fault>> {
-    return callJson(this.#clock, this.#control, {
+    return callJson(this.#clock, this.#controlAgent, {
       address,
       method: "POST",
       path: "/orders",
@@ -157,14 +160,14 @@
         async () => {
           const reply = await request(`http://${address}/generate`, {
             dispatcher: options.usesNewConnection
-              ? this.#newConnections
-              : this.#streams,
+              ? this.#newConnectionAgent
+              : this.#streamAgent,
             method: "POST",
             headers: JSON_HEADERS,
             body: JSON.stringify(body),
             signal: controller.signal,
           });
-          return await readReply(reply, close);
+          return await openStream(reply, close);
         },
       );
     } catch (failure) {
@@ -177,7 +180,7 @@
     address: string,
     requestId: string,
   ): Promise<Result<void, Fault>> {
-    const reply = await callJson(this.#clock, this.#control, {
+    const reply = await callJson(this.#clock, this.#controlAgent, {
       address,
       method: "POST",
       path: "/cancel",
@@ -193,18 +196,18 @@
     from: number,
     signal?: AbortSignal,
   ): Promise<Result<CacheEvents, Fault>> {
-    return callJson(this.#clock, this.#control, {
+    return callJson(this.#clock, this.#controlAgent, {
       address,
       method: "GET",
       path: `/cache-events?from=${from}`,
-      timeoutMs: CACHE_TIMEOUT_MS,
+      timeoutMs: CACHE_EVENTS_TIMEOUT_MS,
       schema: CacheEvents,
       signal,
     });
   }
 }
 
-async function readReply(
+async function openStream(
   reply: Dispatcher.ResponseData,
   close: () => void,
 ): Promise<Result<EngineStream, Fault>> {
@@ -215,7 +218,7 @@
       verdict: REFUSAL_STATUSES.has(reply.statusCode)
         ? "not-run"
         : "may-have-run",
-      message: `refused with status ${reply.statusCode}`,
+      message: `the engine returned HTTP status ${reply.statusCode}`,
       status: reply.statusCode,
       reason,
     });
@@ -227,7 +230,7 @@
   });
 }
 
-/** Reads the start of a refusal's body. */
+/** Reads the start of an error response's body. */
 async function readReason(reply: Dispatcher.ResponseData): Promise<string> {
   let text = "";
   for await (const chunk of reply.body) {
--- a/packages/clients/src/fault.ts
+++ b/packages/clients/src/fault.ts
@@ -1,39 +1,39 @@
 /**
- * Faults of calls to the platform and to upstreams.
+ * Errors of calls to the platform and to upstreams.
  *
  * @module
  */
 import { describeError } from "@zinniahill/kernel";
 import type { Verdict } from "@zinniahill/schema";
 
-/** A call that got no usable reply, and whether it may have taken effect. */
+/** Why a call has no usable response, and whether it may have taken effect. */
 export interface Fault {
   readonly verdict: Verdict;
   readonly message: string;
-  /** HTTP status, when there was a reply. */
+  /** HTTP status, if there was a response. */
   readonly status?: number;
-  /** The upstream's own reason, when it gave one. */
+  /** The reason that the other side gave, if any. */
   readonly reason?: string;
 }
 
 /**
- * System calls and codes of errors raised before any byte was written. The
- * same codes are also raised by an established connection whose route fails,
- * so a code counts only together with the system call.
+ * System call and codes of errors raised before any byte was written. An
+ * established connection raises the same codes when its route fails, so a code
+ * proves this only together with the system call.
  */
 const CONNECT_SYSCALL = "connect";
 const CONNECT_CODES = new Set(["ECONNREFUSED", "EHOSTUNREACH", "ENETUNREACH"]);
 const CONNECT_TIMEOUT_CODE = "UND_ERR_CONNECT_TIMEOUT";
 
-/** Derives from a thrown error whether the call may have taken effect. */
+/** Converts a thrown error to a fault and derives its verdict. */
 export function createFault(failure: unknown): Fault {
   return {
-    verdict: isBeforeWrite(failure) ? "not-run" : "may-have-run",
+    verdict: isConnectFailure(failure) ? "not-run" : "may-have-run",
     message: describeError(failure),
   };
 }
 
-function isBeforeWrite(failure: unknown): boolean {
+function isConnectFailure(failure: unknown): boolean {
   if (!(failure instanceof Error)) {
     return false;
   }
@@ -41,5 +41,5 @@
   const syscall = "syscall" in failure ? String(failure.syscall) : "";
   return code === CONNECT_TIMEOUT_CODE ||
     (syscall === CONNECT_SYSCALL && CONNECT_CODES.has(code)) ||
-    isBeforeWrite(failure.cause);
+    isConnectFailure(failure.cause);
 }
--- a/packages/clients/src/host-list.ts
+++ b/packages/clients/src/host-list.ts
@@ -14,18 +14,18 @@
 
 /** The platform's list of live and leaving hosts. */
 export interface HostList extends Service {
-  /** Reads the list; it lags behind reality. */
+  /** Reads the list, which may be out of date. */
   list(signal?: AbortSignal): Promise<Result<readonly Host[], Fault>>;
 }
 
 const TIMEOUT_MS = 2000;
 
-/** The host list over HTTP. */
+/** HTTP client of the host list. */
 export class HostListClient implements HostList {
   #clock: Clock;
   #address: string;
   #agent: Agent;
-  /** The list is long and changes seldom, so it is read again only then. */
+  /** The list is long and changes rarely, so only a changed list is sent. */
   #cache: ReplyCache<z.infer<typeof HostListReply>> = {};
 
   constructor(
--- a/packages/clients/src/http.ts
+++ b/packages/clients/src/http.ts
@@ -1,5 +1,5 @@
 /**
- * JSON over HTTP with deadlines, shared by the clients.
+ * JSON calls over HTTP with time limits, shared by the clients.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import type { z } from "zod";
 import { createFault, type Fault } from "./fault.ts";
 
-/** One JSON call. */
+/** One JSON call over HTTP. */
 export interface JsonCall<Reply> {
   readonly address: string;
   readonly method: "GET" | "POST";
@@ -18,22 +18,22 @@
   readonly timeoutMs: number;
   readonly schema: z.ZodType<Reply>;
   readonly signal?: AbortSignal | undefined;
-  /** Keeps the last reply, so that one that did not change is not sent again. */
+  /** Holds the last response for conditional requests with its ETag. */
   readonly cache?: ReplyCache<Reply>;
 }
 
-/** The last reply to a call, with the tag that the other side gave it. */
+/** The last response to a call, with its ETag. */
 export interface ReplyCache<Reply> {
-  last?: { readonly tag: string; readonly value: Reply };
+  last?: { readonly etag: string; readonly value: Reply };
 }
 
 const OK_STATUS = 200;
 const NOT_MODIFIED_STATUS = 304;
-/** Statuses by which the platform and the engines refuse before they act. */
+/** Statuses with which the platform and the engines refuse before acting. */
 const REFUSAL_STATUSES = new Set([400, 404, 405, 409, 413]);
 const JSON_HEADERS = { "content-type": "application/json" };
 
-/** Makes a JSON call and checks the reply against its schema. */
+/** Makes a JSON call and validates the response against its schema. */
 export async function callJson<Reply>(
   clock: Clock,
   dispatcher: Dispatcher,
@@ -59,7 +59,7 @@
   const reply = await request(`http://${call.address}${call.path}`, {
     dispatcher,
     method: call.method,
-    headers: createHeaders(call.cache?.last?.tag),
+    headers: createHeaders(call.cache?.last?.etag),
     body: call.body === undefined ? null : JSON.stringify(call.body),
     signal,
   });
@@ -75,24 +75,24 @@
   if (!parsed.success) {
     return Result.err({
       verdict: "ran",
-      message: "the reply does not match its schema",
+      message: "the response body does not match the expected schema",
       status: reply.statusCode,
     });
   }
-  const tag = reply.headers["etag"];
-  if (call.cache !== undefined && typeof tag === "string") {
-    call.cache.last = { tag, value: parsed.data };
+  const etag = reply.headers["etag"];
+  if (call.cache !== undefined && typeof etag === "string") {
+    call.cache.last = { etag, value: parsed.data };
   }
   return Result.ok(parsed.data);
 }
 
-function createHeaders(tag: string | undefined): Record<string, string> {
-  return tag === undefined
+function createHeaders(etag: string | undefined): Record<string, string> {
+  return etag === undefined
     ? JSON_HEADERS
-    : { ...JSON_HEADERS, "if-none-match": tag };
+    : { ...JSON_HEADERS, "if-none-match": etag };
 }
 
-/** After any other status the call may have taken effect. */
+/** With any status that is not a refusal, the call may have taken effect. */
 function createReplyFault(status: number, value: unknown): Fault {
   const reason = typeof value === "object" && value !== null &&
       "error" in value && typeof value.error === "string"
@@ -100,7 +100,9 @@
     : undefined;
   return {
     verdict: REFUSAL_STATUSES.has(status) ? "not-run" : "may-have-run",
-    message: `refused with status ${status}${reason ? `: ${reason}` : ""}`,
+    message: `the call failed with HTTP status ${status}${
+      reason ? `: ${reason}` : ""
+    }`,
     status,
     ...(reason === undefined ? {} : { reason }),
   };
--- a/packages/clients/src/index.ts
+++ b/packages/clients/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Clients of the platform and of the upstreams.
+ * Clients of the platform's services, the upstreams and the peers.
  *
  * @module
  */
--- a/packages/clients/src/log.ts
+++ b/packages/clients/src/log.ts
@@ -11,20 +11,20 @@
 import { callJson } from "./http.ts";
 import { TrafficCounter } from "./traffic-counter.ts";
 
-/** Streams that the system keeps in the log. */
+/** The streams of the log that the system uses. */
 export type LogStream = "control" | "calls";
 
-/** How a stream is read. */
+/** Which entries to read, and how long to wait for them. */
 export interface LogReadOptions {
   readonly from: number;
   readonly max: number;
-  /** How long the log may wait for a first entry. */
+  /** How long the log may wait for the first entry (long polling). */
   readonly waitMs: number;
 }
 
 /** The platform's append-only log. */
 export interface Log extends Service {
-  /** Appends records as one entry; resolves to its offset. */
+  /** Appends records as one entry; returns the entry's offset. */
   append(
     stream: LogStream,
     records: readonly unknown[],
@@ -38,13 +38,13 @@
   ): Promise<Result<LogPage, Fault>>;
 }
 
-/** Where the log is and how long a call may take. */
+/** Address of the log and time limit of its calls. */
 export interface LogOptions {
   readonly address: string;
   readonly timeoutMs: number;
 }
 
-/** The log over HTTP. */
+/** HTTP client of the log. */
 export class LogClient implements Log {
   #clock: Clock;
   #options: LogOptions;
--- a/packages/clients/src/peer-transport.ts
+++ b/packages/clients/src/peer-transport.ts
@@ -1,5 +1,5 @@
 /**
- * Connections between nodes, apart from what is said on them.
+ * Connections between nodes, independent of the messages' content.
  *
  * @module
  */
@@ -13,21 +13,21 @@
 
 /** One connection to another node. */
 export interface PeerConnection {
-  /** Bytes that were sent but have not left this process. */
+  /** Bytes of sent messages that are still buffered in this process. */
   readonly queuedBytes: number;
-  /** Why the connection broke; undefined while it has not. */
+  /** Why the connection failed; undefined if it has not. */
   readonly failure?: string | undefined;
-  /** Sends one message; does nothing when the connection has ended. */
+  /** Sends one message; does nothing if the connection is closed. */
   send(message: Uint8Array): void;
-  /** Waits for the next message; undefined when the connection has ended. */
+  /** Waits for the next message; undefined once the connection is closed. */
   receive(signal: AbortSignal): Promise<Uint8Array | undefined>;
-  /** Ends the connection at once. */
+  /** Closes the connection immediately, without a closing handshake. */
   close(): void;
 }
 
-/** Makes and accepts connections between nodes. */
+/** Opens and accepts connections between nodes. */
 export interface PeerTransport extends Service {
-  /** Accepts connections at an address; each one is given to `onConnection`. */
+  /** Accepts connections at an address and passes each to `onConnection`. */
   listen(
     address: string,
     onConnection: (connection: PeerConnection) => void,
@@ -36,7 +36,7 @@
   connect(address: string, signal: AbortSignal): Promise<PeerConnection>;
 }
 
-/** Connections over WebSocket; both ends know the same token. */
+/** Peer connections over WebSocket, authenticated by a shared token. */
 export class WebSocketTransport implements PeerTransport {
   #token: string;
   #traffic: TrafficCounter;
@@ -58,15 +58,15 @@
     address: string,
     onConnection: (connection: PeerConnection) => void,
   ): Promise<void> {
-    const separator = address.lastIndexOf(":");
-    const expected = hashSecret(this.#token);
+    const portSeparator = address.lastIndexOf(":");
+    const expectedHash = hashSecret(this.#token);
     return new Promise((resolve, reject) => {
       const server = new WebSocketServer({
-        host: address.slice(0, separator).replace(/^\[(.*)\]$/, "$1"),
-        port: Number(address.slice(separator + 1)),
+        host: address.slice(0, portSeparator).replace(/^\[(.*)\]$/, "$1"),
+        port: Number(address.slice(portSeparator + 1)),
         maxPayload: MAX_PEER_MESSAGE_BYTES,
         verifyClient: ({ req }: { req: IncomingMessage }) =>
-          isSameHash(hashSecret(readBearerToken(req)), expected),
+          isSameHash(hashSecret(readBearerToken(req)), expectedHash),
       }, resolve);
       server.on("error", reject);
       server.on("connection", (socket, request) => {
@@ -106,23 +106,23 @@
 
 class WebSocketConnection implements PeerConnection {
   #socket: WebSocket;
-  #inbox: Uint8Array[] = [];
-  #changed = new Condition();
-  #isEnded = false;
+  #receivedMessages: Uint8Array[] = [];
+  #stateChanged = new Condition();
+  #isClosed = false;
   #failure: string | undefined;
 
   constructor(socket: WebSocket) {
     this.#socket = socket;
     socket.on("message", (bytes: Buffer) => {
-      this.#inbox.push(bytes);
-      this.#changed.notify();
+      this.#receivedMessages.push(bytes);
+      this.#stateChanged.notify();
     });
     socket.on("error", (failure) => {
       this.#failure = describeError(failure);
     });
     socket.on("close", () => {
-      this.#isEnded = true;
-      this.#changed.notify();
+      this.#isClosed = true;
+      this.#stateChanged.notify();
     });
   }
 
@@ -141,11 +141,11 @@
   }
 
   async receive(signal: AbortSignal): Promise<Uint8Array | undefined> {
-    await this.#changed.until(
-      () => this.#inbox.length > 0 || this.#isEnded,
+    await this.#stateChanged.until(
+      () => this.#receivedMessages.length > 0 || this.#isClosed,
       signal,
     );
-    return this.#inbox.shift();
+    return this.#receivedMessages.shift();
   }
 
   close(): void {
--- a/packages/clients/src/plain-services.ts
+++ b/packages/clients/src/plain-services.ts
@@ -1,5 +1,5 @@
 /**
- * Client of plain services.
+ * Client of plain services: upstreams that are no model engines.
  *
  * @module
  */
@@ -18,16 +18,16 @@
   readonly body: Uint8Array;
 }
 
-/** A plain service's answer. */
+/** A plain service's response. */
 export interface PlainServiceReply {
   readonly status: number;
   readonly contentType: string;
   readonly body: Buffer;
-  /** End-to-end headers of the reply beside its content type. */
+  /** End-to-end headers of the response, without its content type. */
   readonly headers?: Readonly<Record<string, string>>;
 }
 
-/** The plain services beside the engines. */
+/** Calls to plain services. */
 export interface PlainServices extends Service {
   /** Makes one call, on a new connection. */
   call(
@@ -38,13 +38,13 @@
   ): Promise<Result<PlainServiceReply, Fault>>;
 }
 
-const REFUSED_STATUS = 503;
+const NOT_RUN_STATUS = 503;
 const NOT_RUN_HEADER = "x-not-run";
 const NOT_RUN_VALUE = "1";
-/** A reply beyond this size is dropped, as each one is held in memory. */
+/** Responses are buffered in memory, so a larger one is dropped. */
 const MAX_REPLY_BYTES = 8 * 1024 * 1024;
-/** Headers that belong to the connection, or that the node sets itself. */
-const CONNECTION_HEADERS = new Set([
+/** Hop-by-hop headers, and headers that the node sets itself. */
+const EXCLUDED_HEADERS = new Set([
   "connection",
   "content-length",
   "content-type",
@@ -56,8 +56,8 @@
 ]);
 
 /**
- * Plain services over HTTP. Each call has a connection of its own: on a reused
- * one, a close by the other side would leave unknown whether the call has run.
+ * HTTP client of plain services. Each call uses a new connection: if the other
+ * side closes a reused one, it is unknown whether the call has run.
  */
 export class PlainServiceClient implements PlainServices {
   #clock: Clock;
@@ -87,13 +87,13 @@
         this.#clock,
         timeoutMs,
         signal,
-        async (limited) => {
+        async (deadlineSignal) => {
           const reply = await request(`http://${address}${call.path}`, {
             dispatcher: this.#agent,
             method: call.method as Dispatcher.HttpMethod,
             headers: call.headers,
             body: call.body.length > 0 ? call.body : null,
-            signal: limited,
+            signal: deadlineSignal,
           });
           return await readReply(reply);
         },
@@ -107,7 +107,7 @@
 async function readReply(
   reply: Dispatcher.ResponseData,
 ): Promise<Result<PlainServiceReply, Fault>> {
-  const isRefusal = reply.statusCode === REFUSED_STATUS &&
+  const isRefusal = reply.statusCode === NOT_RUN_STATUS &&
     reply.headers[NOT_RUN_HEADER] === NOT_RUN_VALUE;
   if (isRefusal) {
     await reply.body.dump();
@@ -121,7 +121,7 @@
   if (body === undefined) {
     return Result.err({
       verdict: "ran",
-      message: `the reply is larger than ${MAX_REPLY_BYTES} bytes`,
+      message: `the response body exceeds ${MAX_REPLY_BYTES} bytes`,
       status: reply.statusCode,
     });
   }
@@ -129,19 +129,19 @@
     status: reply.statusCode,
     contentType: String(reply.headers["content-type"] ?? ""),
     body,
-    headers: collectHeaders(reply.headers),
+    headers: selectEndToEndHeaders(reply.headers),
   });
 }
 
-/** Reads a body up to the limit; undefined when it is larger. */
+/** Reads a body; undefined if it exceeds the size limit. */
 async function readBody(
   stream: AsyncIterable<Buffer>,
 ): Promise<Buffer | undefined> {
   const chunks: Buffer[] = [];
-  let size = 0;
+  let sizeBytes = 0;
   for await (const chunk of stream) {
-    size += chunk.length;
-    if (size > MAX_REPLY_BYTES) {
+    sizeBytes += chunk.length;
+    if (sizeBytes > MAX_REPLY_BYTES) {
       return undefined;
     }
     chunks.push(chunk);
@@ -149,11 +149,11 @@
   return Buffer.concat(chunks);
 }
 
-function collectHeaders(
+function selectEndToEndHeaders(
   headers: Dispatcher.ResponseData["headers"],
 ): Record<string, string> {
-  const kept = Object.entries(headers).filter(([name, value]) =>
-    !CONNECTION_HEADERS.has(name) && typeof value === "string"
+  const endToEnd = Object.entries(headers).filter(([name, value]) =>
+    !EXCLUDED_HEADERS.has(name) && typeof value === "string"
   );
-  return Object.fromEntries(kept) as Record<string, string>;
+  return Object.fromEntries(endToEnd) as Record<string, string>;
 }
--- a/packages/clients/src/secrets.ts
+++ b/packages/clients/src/secrets.ts
@@ -1,5 +1,6 @@
 /**
- * Comparison of secrets without keeping or timing them.
+ * Hashes secrets and compares the hashes in constant time, so that no secret is
+ * stored and timing reveals none.
  *
  * @module
  */
@@ -7,13 +8,13 @@
 import { createHash, timingSafeEqual } from "node:crypto";
 import type { IncomingMessage } from "node:http";
 
-/** Reads the bearer token of a request. */
+/** Returns the bearer token of a request; empty if it has none. */
 export function readBearerToken(request: IncomingMessage): string {
   const header = request.headers.authorization ?? "";
   return header.startsWith("Bearer ") ? header.slice("Bearer ".length) : "";
 }
 
-/** Hashes a secret. */
+/** Returns the SHA-256 hash of a secret in hexadecimal. */
 export function hashSecret(secret: string): string {
   return createHash("sha256").update(secret).digest("hex");
 }
--- a/packages/clients/src/token-events.ts
+++ b/packages/clients/src/token-events.ts
@@ -1,85 +1,85 @@
 /**
- * Splits an engine's stream of server-sent events without decoding the text.
+ * Splits an engine's stream of server-sent events without decoding their text.
  *
  * @module
  */
 import { Buffer } from "node:buffer";
 
-/** Index of the event that ends a stream. */
+/** Index that stands for the event that ends a stream. */
 export const END_INDEX = -1;
 
 /**
- * Events that one chunk completes: their bytes in one piece as they came, so
- * that they can be forwarded with one write.
+ * The events that one chunk completes. Their bytes are unchanged and
+ * contiguous, so that they can be forwarded with one write.
  */
 export interface TokenEventBatch {
   readonly bytes: Buffer;
-  /** Index of each token; `END_INDEX` for the event that ends the stream. */
+  /** Token index of each event; `END_INDEX` if it ends the stream. */
   readonly tokenIndices: readonly number[];
-  /** Position after each event, with its empty line. */
+  /** Offset in `bytes` after each event, its empty line included. */
   readonly endOffsets: readonly number[];
 }
 
-/** Bytes of an event; an engine that sends more does not follow the format. */
+/** Maximum size of a buffered event; a larger one violates the format. */
 const MAX_EVENT_BYTES = 1024 * 1024;
-const SEPARATOR = Buffer.from("\n\n");
+const EVENT_SEPARATOR = Buffer.from("\n\n");
 const ID_PREFIX = Buffer.from("id: ");
-const END_PREFIX = Buffer.from("data: [DONE]");
+const END_EVENT_PREFIX = Buffer.from("data: [DONE]");
 const LINE_FEED = 0x0a;
 const DIGIT_ZERO = 0x30;
 const DIGIT_NINE = 0x39;
 
-/** A stream that does not follow the engine's format. */
+/** Thrown for a stream that violates the engines' event format. */
 export class TokenFormatError extends Error {
   override name = "TokenFormatError";
 }
 
-/** Cuts byte chunks into events; keeps an unfinished event for later. */
+/** Splits byte chunks into events; buffers an incomplete event. */
 export class TokenEventSplitter {
-  #rest: Buffer = Buffer.alloc(0);
+  #incompleteEvent: Buffer = Buffer.alloc(0);
 
   /** Returns the events that the chunk completes. */
   push(chunk: Uint8Array): TokenEventBatch {
-    const bytes = this.#join(chunk);
+    const bytes = this.#prependIncompleteEvent(chunk);
     const tokenIndices: number[] = [];
     const endOffsets: number[] = [];
-    // The separator may begin in the rest, so its last byte is searched again.
-    const searchFrom = Math.max(0, this.#rest.length - 1);
+    // The separator may start with the last byte of the incomplete event.
+    const searchFrom = Math.max(0, this.#incompleteEvent.length - 1);
     let start = 0;
     for (
-      let end = bytes.indexOf(SEPARATOR, searchFrom);
+      let end = bytes.indexOf(EVENT_SEPARATOR, searchFrom);
       end >= 0;
-      end = bytes.indexOf(SEPARATOR, start)
+      end = bytes.indexOf(EVENT_SEPARATOR, start)
     ) {
-      tokenIndices.push(readEventIndex(bytes, start, end));
-      start = end + SEPARATOR.length;
+      tokenIndices.push(parseTokenIndex(bytes, start, end));
+      start = end + EVENT_SEPARATOR.length;
       endOffsets.push(start);
     }
-    this.#rest = bytes.subarray(start);
-    if (this.#rest.length > MAX_EVENT_BYTES) {
-      throw new TokenFormatError("the event is too large");
+    this.#incompleteEvent = bytes.subarray(start);
+    if (this.#incompleteEvent.length > MAX_EVENT_BYTES) {
+      throw new TokenFormatError("the event exceeds the size limit");
     }
     return { bytes: bytes.subarray(0, start), tokenIndices, endOffsets };
   }
 
-  #join(chunk: Uint8Array): Buffer {
-    const arrived = Buffer.from(
+  #prependIncompleteEvent(chunk: Uint8Array): Buffer {
+    const chunkBytes = Buffer.from(
       chunk.buffer,
       chunk.byteOffset,
       chunk.byteLength,
     );
-    return this.#rest.length === 0
-      ? arrived
-      : Buffer.concat([this.#rest, arrived]);
+    return this.#incompleteEvent.length === 0
+      ? chunkBytes
+      : Buffer.concat([this.#incompleteEvent, chunkBytes]);
   }
 }
 
-function readEventIndex(bytes: Buffer, start: number, end: number): number {
-  if (hasPrefix(bytes, start, END_PREFIX)) {
+function parseTokenIndex(bytes: Buffer, start: number, end: number): number {
+  if (hasPrefixAt(bytes, start, END_EVENT_PREFIX)) {
     return END_INDEX;
   }
-  if (!hasPrefix(bytes, start, ID_PREFIX)) {
-    throw new TokenFormatError("expected an event that begins with its id");
+  if (!hasPrefixAt(bytes, start, ID_PREFIX)) {
+    throw new TokenFormatError("the event does not start with its id");
   }
   let index = 0;
   let position = start + ID_PREFIX.length;
@@ -92,12 +92,12 @@
   }
   const hasDigits = position > start + ID_PREFIX.length;
   if (!hasDigits || bytes[position] !== LINE_FEED) {
-    throw new TokenFormatError("expected a number as the event's id");
+    throw new TokenFormatError("the event's id is not a number");
   }
   return index;
 }
 
-function hasPrefix(bytes: Buffer, start: number, prefix: Buffer): boolean {
+function hasPrefixAt(bytes: Buffer, start: number, prefix: Buffer): boolean {
   for (let offset = 0; offset < prefix.length; offset++) {
     if (bytes[start + offset] !== prefix[offset]) {
       return false;
--- a/packages/clients/src/traffic-counter.ts
+++ b/packages/clients/src/traffic-counter.ts
@@ -1,5 +1,5 @@
 /**
- * Bytes on the wire, by what they are for.
+ * Counts bytes sent and received, by the purpose of the connection.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import type { Service } from "@zinniahill/kernel";
 import { Agent, buildConnector } from "undici";
 
-/** What a connection is used for. */
+/** The purpose of a connection. */
 export type TrafficClass =
   | "log"
   | "host-list"
@@ -17,40 +17,43 @@
   | "calls"
   | "peers";
 
-/** Bytes of one channel, headers included. */
+/** Bytes of one traffic class, headers included. */
 export interface ByteCounts {
   readonly sentBytes: number;
   readonly receivedBytes: number;
 }
 
-/** Counts the bytes of connections, those that have ended included. */
+/** Counts the bytes of open and closed connections. */
 export class TrafficCounter implements Service {
-  #ended = new Map<TrafficClass, ByteCounts>();
-  #open = new Map<TrafficClass, Set<Socket>>();
+  #closedCounts = new Map<TrafficClass, ByteCounts>();
+  #openSockets = new Map<TrafficClass, Set<Socket>>();
 
-  /** Counts a connection's bytes until it ends. */
+  /** Counts a connection's bytes until it closes. */
   track(trafficClass: TrafficClass, socket: Socket): void {
-    const sockets = this.#open.get(trafficClass) ?? new Set();
-    this.#open.set(trafficClass, sockets.add(socket));
+    const sockets = this.#openSockets.get(trafficClass) ?? new Set();
+    this.#openSockets.set(trafficClass, sockets.add(socket));
     socket.once("close", () => {
       sockets.delete(socket);
-      this.#ended.set(
+      this.#closedCounts.set(
         trafficClass,
-        addCounts(this.#ended.get(trafficClass) ?? NO_BYTES, socket),
+        addSocketBytes(
+          this.#closedCounts.get(trafficClass) ?? ZERO_COUNTS,
+          socket,
+        ),
       );
     });
   }
 
-  /** Creates a pool of connections whose bytes are counted. */
+  /** Creates a connection pool whose bytes are counted. */
   createAgent(trafficClass: TrafficClass, options: Agent.Options = {}): Agent {
     const connect = buildConnector({});
     return new Agent({
       ...options,
       connect: (target, callback) => {
         connect(target, (...result) => {
-          const [failure, socket] = result;
-          // The library gives no socket, not even null, with a failure.
-          if (failure === null && socket !== null) {
+          const [error, socket] = result;
+          // On an error undici passes no second argument, so `socket` is not null.
+          if (error === null && socket !== null) {
             this.track(trafficClass, socket);
           }
           callback(...result);
@@ -59,16 +62,19 @@
     });
   }
 
-  /** Bytes of a channel so far. */
+  /** Returns the bytes of a traffic class so far. */
   getCounts(trafficClass: TrafficClass): ByteCounts {
-    const sockets = [...this.#open.get(trafficClass) ?? []];
-    return sockets.reduce(addCounts, this.#ended.get(trafficClass) ?? NO_BYTES);
+    const sockets = [...this.#openSockets.get(trafficClass) ?? []];
+    return sockets.reduce(
+      addSocketBytes,
+      this.#closedCounts.get(trafficClass) ?? ZERO_COUNTS,
+    );
   }
 
   dump(): unknown {
     const trafficClasses = new Set([
-      ...this.#ended.keys(),
-      ...this.#open.keys(),
+      ...this.#closedCounts.keys(),
+      ...this.#openSockets.keys(),
     ]);
     return Object.fromEntries(
       [...trafficClasses].map((
@@ -78,9 +84,9 @@
   }
 }
 
-const NO_BYTES: ByteCounts = { sentBytes: 0, receivedBytes: 0 };
+const ZERO_COUNTS: ByteCounts = { sentBytes: 0, receivedBytes: 0 };
 
-function addCounts(count: ByteCounts, socket: Socket): ByteCounts {
+function addSocketBytes(count: ByteCounts, socket: Socket): ByteCounts {
   return {
     sentBytes: count.sentBytes + socket.bytesWritten,
     receivedBytes: count.receivedBytes + socket.bytesRead,
--- a/packages/clients/src/weight-store.ts
+++ b/packages/clients/src/weight-store.ts
@@ -11,7 +11,7 @@
 import { callJson } from "./http.ts";
 import { TrafficCounter } from "./traffic-counter.ts";
 
-/** A host that wants to load a model. */
+/** A request for permission to load a model on a host. */
 export interface GrantRequest {
   readonly model: string;
   readonly version: string;
@@ -20,7 +20,7 @@
 
 /** The platform's rate-limited store of model weights. */
 export interface WeightStore extends Service {
-  /** Asks whether a host may begin to load. */
+  /** Asks whether a host may start loading. */
   requestGrant(
     request: GrantRequest,
     signal?: AbortSignal,
@@ -29,7 +29,7 @@
 
 const TIMEOUT_MS = 2000;
 
-/** The weight store over HTTP. */
+/** HTTP client of the weight store. */
 export class WeightStoreClient implements WeightStore {
   #clock: Clock;
   #address: string;
--- a/packages/clients/test/host-list.test.ts
+++ b/packages/clients/test/host-list.test.ts
@@ -38,8 +38,8 @@
     await standIn.close();
   });
 
-  describe("a list that has not changed", () => {
-    it("is not sent again, or reading it costs more than all other control", async () => {
+  describe("an unchanged list", () => {
+    it("is not sent again, as it outweighs all other control traffic", async () => {
       const first = await client.list();
       const bytes = traffic.getCounts("host-list").receivedBytes;
       const second = await client.list();
@@ -49,8 +49,8 @@
     });
   });
 
-  describe("a list that has changed", () => {
-    it("is read again, also when a host is gone", async () => {
+  describe("a changed list", () => {
+    it("is read again, also if a host was removed", async () => {
       await client.list();
       standIn.remove("host-1");
       const hosts = await client.list();
--- a/packages/clients/test/peer-transport.test.ts
+++ b/packages/clients/test/peer-transport.test.ts
@@ -7,8 +7,8 @@
 
 const TOKEN = "0123456789abcdef";
 
-/** Returns an address of this host that nothing listens on. */
-async function findAddress(): Promise<string> {
+/** Returns a loopback address that nothing listens on. */
+async function findUnusedAddress(): Promise<string> {
   const server = createServer();
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   const { port } = server.address() as AddressInfo;
@@ -23,7 +23,7 @@
   const { signal } = new AbortController();
 
   beforeEach(async () => {
-    address = await findAddress();
+    address = await findUnusedAddress();
     listener = new WebSocketTransport(TOKEN);
     accepted = new Promise((resolve) => {
       void listener.listen(address, resolve);
@@ -37,34 +37,34 @@
 
   describe("connections", () => {
     it("carry messages in both directions", async () => {
-      const near = await connect();
-      const far = await accepted;
-      near.send(new Uint8Array([1, 2]));
-      far.send(new Uint8Array([3]));
-      expect([...(await far.receive(signal))!]).toEqual([1, 2]);
-      expect([...(await near.receive(signal))!]).toEqual([3]);
-      near.close();
-      expect(await far.receive(signal)).toBeUndefined();
+      const client = await connect();
+      const server = await accepted;
+      client.send(new Uint8Array([1, 2]));
+      server.send(new Uint8Array([3]));
+      expect([...(await server.receive(signal))!]).toEqual([1, 2]);
+      expect([...(await client.receive(signal))!]).toEqual([3]);
+      client.close();
+      expect(await server.receive(signal)).toBeUndefined();
     });
 
-    it("are refused to a node that does not know the token", async () => {
+    it("are refused to a node with a wrong token", async () => {
       await expect(connect("another-token-000")).rejects.toThrow("401");
     });
 
-    it("are refused where nothing listens", async () => {
-      const other = await findAddress();
+    it("fail if nothing listens at the address", async () => {
+      const other = await findUnusedAddress();
       await expect(new WebSocketTransport(TOKEN).connect(other, signal))
         .rejects.toThrow();
     });
   });
 
   describe("limits", () => {
-    it("end a connection whose message is too large, with the reason", async () => {
-      const near = await connect();
-      const far = await accepted;
-      near.send(new Uint8Array(MAX_PEER_MESSAGE_BYTES + 1));
-      expect(await far.receive(signal)).toBeUndefined();
-      expect(far.failure).toContain("Max payload size exceeded");
+    it("close a connection on a too large message, with a reason", async () => {
+      const client = await connect();
+      const server = await accepted;
+      client.send(new Uint8Array(MAX_PEER_MESSAGE_BYTES + 1));
+      expect(await server.receive(signal)).toBeUndefined();
+      expect(server.failure).toContain("Max payload size exceeded");
     });
   });
 });
--- a/packages/clients/test/token-events.test.ts
+++ b/packages/clients/test/token-events.test.ts
@@ -15,27 +15,30 @@
 
 describe("TokenSplitter", () => {
   describe("chunk boundaries", () => {
-    it("finds the same events wherever the network cuts the stream", () => {
+    it("do not change the events that are found", () => {
       fc.assert(
         fc.property(
           fc.array(fc.nat(STREAM.length), { maxLength: 20 }),
-          (places) => {
-            const cuts = [
+          (positions) => {
+            const boundaries = [
               0,
-              ...places.toSorted((a, b) => a - b),
+              ...positions.toSorted((a, b) => a - b),
               STREAM.length,
             ];
             const splitter = new TokenEventSplitter();
-            const indices: number[] = [];
+            const tokenIndices: number[] = [];
             let text = "";
-            for (let cut = 1; cut < cuts.length; cut++) {
-              const chunk = STREAM.subarray(cuts[cut - 1], cuts[cut]);
-              const block = splitter.push(chunk);
-              indices.push(...block.tokenIndices);
-              text += block.bytes.toString();
+            for (let index = 1; index < boundaries.length; index++) {
+              const chunk = STREAM.subarray(
+                boundaries[index - 1],
+                boundaries[index],
+              );
+              const batch = splitter.push(chunk);
+              tokenIndices.push(...batch.tokenIndices);
+              text += batch.bytes.toString();
             }
             expect(text).toBe(EVENTS.join(""));
-            expect(indices).toEqual([...Array(12).keys(), END_INDEX]);
+            expect(tokenIndices).toEqual([...Array(12).keys(), END_INDEX]);
           },
         ),
         { seed: 21, numRuns: 500 },
@@ -43,13 +46,16 @@
     });
   });
 
-  describe("wrong formats", () => {
+  describe("invalid formats", () => {
     it.each([
-      ["no id", "data: {}\n\n"],
+      ["an event without an id", "data: {}\n\n"],
       ["an id without digits", "id: x\ndata: {}\n\n"],
       ["an id with other text", "id: 1x\ndata: {}\n\n"],
-      ["an event without end", "id: 1\ndata: ".padEnd(2 * 1024 * 1024, "x")],
-    ])("refuses %s", (_name, text) => {
+      [
+        "an event that never ends",
+        "id: 1\ndata: ".padEnd(2 * 1024 * 1024, "x"),
+      ],
+    ])("are rejected: %s", (_name, text) => {
       const splitter = new TokenEventSplitter();
       expect(() => splitter.push(Buffer.from(text))).toThrow(TokenFormatError);
     });
--- a/packages/clients/test/verdicts.test.ts
+++ b/packages/clients/test/verdicts.test.ts
@@ -16,7 +16,7 @@
   headers: {},
   body: Buffer.from("x"),
 };
-const GENERATE = {
+const GENERATE_REQUEST = {
   request: "r",
   group: "g",
   model: "m",
@@ -28,7 +28,7 @@
 
 describe("verdicts of faults", () => {
   describe("errors of the connection", () => {
-    it("is not-run when the connection itself was refused", () => {
+    it("is not-run if the connection was refused", () => {
       const failure = Object.assign(new Error("x"), {
         code: "ECONNREFUSED",
         syscall: "connect",
@@ -39,7 +39,7 @@
     });
 
     it.each(["EHOSTUNREACH", "ENETUNREACH", "ECONNRESET", "EPIPE"])(
-      "is may-have-run when an open connection fails with %s",
+      "is may-have-run if an open connection fails with %s",
       (code) => {
         const failure = Object.assign(new Error("x"), {
           code,
@@ -50,16 +50,16 @@
     );
   });
 
-  describe("replies", () => {
+  describe("responses", () => {
     let server: Server;
     let address: string;
-    let answer: (response: ServerResponse) => void;
+    let respond: (response: ServerResponse) => void;
     const plain = new PlainServiceClient(new SystemClock());
     const engines = new EngineClient(new SystemClock());
 
     beforeEach(async () => {
       server = createServer((request, response) => {
-        request.resume().on("end", () => answer(response));
+        request.resume().on("end", () => respond(response));
       });
       await new Promise<void>((resolve) =>
         server.listen(0, "127.0.0.1", resolve)
@@ -74,38 +74,38 @@
 
     const callPlain = () => plain.call(address, PLAIN_CALL, TIMEOUT_MS);
     const generate = () =>
-      engines.generate(address, GENERATE, {
+      engines.generate(address, GENERATE_REQUEST, {
         timeoutMs: TIMEOUT_MS,
         usesNewConnection: false,
       });
 
-    it("is not-run when nothing listens", async () => {
+    it("is not-run if nothing listens at the address", async () => {
       server.close();
       const reply = await callPlain();
       expect(reply.isErr && reply.error.verdict).toBe("not-run");
     });
 
-    it("is not-run for a 503 that says so", async () => {
-      answer = (response) =>
+    it("is not-run for a 503 with the header x-not-run", async () => {
+      respond = (response) =>
         response.writeHead(503, { "x-not-run": "1" }).end();
       const reply = await callPlain();
       expect(reply.isErr && reply.error.verdict).toBe("not-run");
     });
 
-    it("takes a 503 that does not say so as the call's reply", async () => {
-      answer = (response) => response.writeHead(503).end("busy");
+    it("is absent for a 503 without x-not-run, a normal response", async () => {
+      respond = (response) => response.writeHead(503).end("busy");
       const reply = await callPlain();
       expect(reply.isOk && reply.value.status).toBe(503);
     });
 
-    it("is may-have-run when the connection ends without a reply", async () => {
-      answer = (response) => response.destroy();
+    it("is may-have-run if the connection closes without response", async () => {
+      respond = (response) => response.destroy();
       const reply = await callPlain();
       expect(reply.isErr && reply.error.verdict).toBe("may-have-run");
     });
 
-    it("is ran for a reply that is too large to pass on", async () => {
-      answer = (response) => response.end(Buffer.alloc(9 * 1024 * 1024));
+    it("is ran for a response that exceeds the size limit", async () => {
+      respond = (response) => response.end(Buffer.alloc(9 * 1024 * 1024));
       const reply = await callPlain();
       expect(reply.isErr && reply.error.verdict).toBe("ran");
     });
@@ -116,8 +116,8 @@
       [500, "may-have-run"],
       [504, "may-have-run"],
       [408, "may-have-run"],
-    ])("of an engine's status %d is %s", async (status, verdict) => {
-      answer = (response) => response.writeHead(status).end("{}");
+    ])("for an engine's status %d is %s", async (status, verdict) => {
+      respond = (response) => response.writeHead(status).end("{}");
       const reply = await generate();
       expect(reply.isErr && reply.error.verdict).toBe(verdict);
     });
--- a/packages/node/src/serving/stream-attempt.ts
+++ b/packages/node/src/serving/stream-attempt.ts
@@ -144,12 +144,12 @@
     if (chunk.done) {
       return;
     }
-    const block = splitter.push(chunk.value);
-    const foreign = findForeignEvent(block, mark);
+    const batch = splitter.push(chunk.value);
+    const foreign = findForeignEvent(batch, mark);
     if (foreign !== undefined) {
       throw new Error(`event ${foreign} belongs to another request`);
     }
-    const run = selectRun(block, progress.next);
+    const run = selectRun(batch, progress.next);
     const tokens = run.next - progress.next;
     progress.note(run);
     if (tokens > 0) {
--- a/packages/node/src/serving/token-run.ts
+++ b/packages/node/src/serving/token-run.ts
@@ -6,7 +6,7 @@
 import { Buffer } from "node:buffer";
 import { END_INDEX, type TokenEventBatch } from "@zinniahill/clients";
 
-/** What a block of events holds for the caller. */
+/** What a batch of events holds for the caller. */
 export interface TokenRun {
   /** The new events. They are copied only if duplicates lie between them. */
   readonly bytes: Buffer;
@@ -24,8 +24,8 @@
  * Selects the events from token `next` on. Duplicates are dropped, and nothing
  * is taken from behind a gap; events out of order make a gap as well.
  */
-export function selectRun(block: TokenEventBatch, next: number): TokenRun {
-  const { bytes, tokenIndices, endOffsets } = block;
+export function selectRun(batch: TokenEventBatch, next: number): TokenRun {
+  const { bytes, tokenIndices, endOffsets } = batch;
   const pieces: Buffer[] = [];
   let last: Buffer | undefined;
   let expected = next;
