--- a/packages/clients/src/engines.ts
+++ b/packages/clients/src/engines.ts
@@ -52,7 +52,7 @@
   /** Reads changes of the engine's prefix cache, from a sequence number on. */
   readCacheEvents(
     address: string,
-    from: number,
+    fromSequence: number,
     signal?: AbortSignal,
   ): Promise<Result<CacheEvents, Fault>>;
 }
@@ -72,7 +72,7 @@
 /** Statuses with which an engine refuses a request before running it. */
 const REFUSAL_STATUSES = new Set([409, 503]);
 const MAX_REASON_LENGTH = 200;
-/** Shared reason for aborts, as each default one captures a stack trace. */
+/** Shared abort reason, as a default one captures a stack trace per close. */
 const STREAM_CLOSED = new Error("the stream was closed");
 const JSON_HEADERS = { "content-type": "application/json" };
 /** The callers set the time limits, so those of undici are disabled. */
@@ -193,13 +193,13 @@
 
   readCacheEvents(
     address: string,
-    from: number,
+    fromSequence: number,
     signal?: AbortSignal,
   ): Promise<Result<CacheEvents, Fault>> {
     return callJson(this.#clock, this.#controlAgent, {
       address,
       method: "GET",
-      path: `/cache-events?from=${from}`,
+      path: `/cache-events?from=${fromSequence}`,
       timeoutMs: CACHE_EVENTS_TIMEOUT_MS,
       schema: CacheEvents,
       signal,
--- a/packages/clients/src/http.ts
+++ b/packages/clients/src/http.ts
@@ -18,7 +18,7 @@
   readonly timeoutMs: number;
   readonly schema: z.ZodType<Reply>;
   readonly signal?: AbortSignal | undefined;
-  /** Holds the last response for conditional requests with its ETag. */
+  /** Keeps the last response, so that an unchanged one is not sent again. */
   readonly cache?: ReplyCache<Reply>;
 }
 
@@ -44,14 +44,14 @@
       clock,
       call.timeoutMs,
       call.signal,
-      (signal) => exchange(dispatcher, call, signal),
+      (signal) => sendCall(dispatcher, call, signal),
     );
   } catch (failure) {
     return Result.err(createFault(failure));
   }
 }
 
-async function exchange<Reply>(
+async function sendCall<Reply>(
   dispatcher: Dispatcher,
   call: JsonCall<Reply>,
   signal: AbortSignal,
--- a/packages/clients/src/log.ts
+++ b/packages/clients/src/log.ts
@@ -16,7 +16,9 @@
 
 /** Which entries to read, and how long to wait for them. */
 export interface LogReadOptions {
+  /** Offset of the first entry. */
   readonly from: number;
+  /** Maximum number of entries. */
   readonly max: number;
   /** How long the log may wait for the first entry (long polling). */
   readonly waitMs: number;
--- a/packages/clients/src/plain-services.ts
+++ b/packages/clients/src/plain-services.ts
@@ -1,5 +1,5 @@
 /**
- * Client of plain services: upstreams that are no model engines.
+ * Client of plain services: upstreams that are not model engines.
  *
  * @module
  */
--- a/packages/clients/src/traffic-counter.ts
+++ b/packages/clients/src/traffic-counter.ts
@@ -49,10 +49,10 @@
     const connect = buildConnector({});
     return new Agent({
       ...options,
-      connect: (target, callback) => {
-        connect(target, (...result) => {
+      connect: (connectOptions, callback) => {
+        connect(connectOptions, (...result) => {
           const [error, socket] = result;
-          // On an error undici passes no second argument, so `socket` is not null.
+          // On an error undici omits the socket: it is undefined, not null.
           if (error === null && socket !== null) {
             this.track(trafficClass, socket);
           }
--- a/packages/clients/test/host-list.test.ts
+++ b/packages/clients/test/host-list.test.ts
@@ -39,7 +39,8 @@
   });
 
   describe("an unchanged list", () => {
-    it("is not sent again, as it outweighs all other control traffic", async () => {
+    // Sending it on every read costs more than all other control traffic.
+    it("is not sent again", async () => {
       const first = await client.list();
       const bytes = traffic.getCounts("host-list").receivedBytes;
       const second = await client.list();
--- a/packages/clients/test/token-events.test.ts
+++ b/packages/clients/test/token-events.test.ts
@@ -13,7 +13,7 @@
 ).concat("data: [DONE]\n\n");
 const STREAM = Buffer.from(EVENTS.join(""));
 
-describe("TokenSplitter", () => {
+describe("TokenEventSplitter", () => {
   describe("chunk boundaries", () => {
     it("do not change the events that are found", () => {
       fc.assert(
--- a/packages/clients/test/verdicts.test.ts
+++ b/packages/clients/test/verdicts.test.ts
@@ -26,8 +26,8 @@
   offset: 0,
 };
 
-describe("verdicts of faults", () => {
-  describe("errors of the connection", () => {
+describe("verdict of a fault", () => {
+  describe("connection errors", () => {
     it("is not-run if the connection was refused", () => {
       const failure = Object.assign(new Error("x"), {
         code: "ECONNREFUSED",
@@ -98,7 +98,7 @@
       expect(reply.isOk && reply.value.status).toBe(503);
     });
 
-    it("is may-have-run if the connection closes without response", async () => {
+    it("is may-have-run if the connection closes early", async () => {
       respond = (response) => response.destroy();
       const reply = await callPlain();
       expect(reply.isErr && reply.error.verdict).toBe("may-have-run");
--- a/stand-ins/src/memory/platform.ts
+++ b/stand-ins/src/memory/platform.ts
@@ -172,13 +172,13 @@
             ? Result.ok(result.offset)
             : Result.err(DOWN);
         }, signal),
-      read: (stream, range, signal) =>
+      read: (stream, options, signal) =>
         this.network.call(
           node,
           LOG_END,
-          CALL_TIMEOUT_MS + range.waitMs,
+          CALL_TIMEOUT_MS + options.waitMs,
           async () => {
-            const page = await this.log.handleRead(stream, range);
+            const page = await this.log.handleRead(stream, options);
             return page === undefined ? Result.err(DOWN) : Result.ok(page);
           },
           signal,
