--- a/packages/node/src/administration/administration-api.ts
+++ b/packages/node/src/administration/administration-api.ts
@@ -1,5 +1,5 @@
 /**
- * The administration interface over HTTP.
+ * HTTP API for operators.
  *
  * @module
  */
@@ -39,7 +39,7 @@
   author: z.string().default("operator"),
 });
 
-/** Serves operators. */
+/** Serves the administration API on its own listener. */
 export class AdministrationApi implements Service {
   #kernel: NodeKernel;
   #random: Random;
@@ -49,7 +49,7 @@
   #peers: Peers;
   #lifecycle: Lifecycle;
   #listener = new HttpListener();
-  #stopping = new AbortController();
+  #stopController = new AbortController();
 
   constructor(kernel: NodeKernel) {
     this.#kernel = kernel;
@@ -62,51 +62,63 @@
   }
 
   async start(): Promise<void> {
-    this.#on("POST", "/admin/configuration", async (request, response) => {
-      const body = await this.#readBody(request, PublishBody);
-      const answer = await this.#publish(body);
-      sendJson(response, answer.status, answer.body);
-    });
-    this.#on(
+    this.#addRoute(
+      "POST",
+      "/admin/configuration",
+      async (request, response) => {
+        const body = await this.#readBody(request, PublishBody);
+        const result = await this.#publish(body);
+        sendJson(response, result.status, result.body);
+      },
+    );
+    this.#addRoute(
       "POST",
       "/admin/configuration/check",
       async (request, response) => {
         const { text } = await this.#readBody(request, CheckBody);
         const faults = parseRules(text).match({
           Ok: () => [],
-          Err: (all) => all,
+          Err: (ruleFaults) => ruleFaults,
         });
         sendJson(response, OK_STATUS, { faults });
       },
     );
-    this.#on("GET", "/admin/configuration", async (_request, response) => {
-      await Promise.resolve();
-      sendJson(response, OK_STATUS, this.#state.control.configuration);
-    });
-    this.#on("GET", "/admin/status", async (_request, response) => {
+    this.#addRoute(
+      "GET",
+      "/admin/configuration",
+      async (_request, response) => {
+        await Promise.resolve();
+        sendJson(response, OK_STATUS, this.#state.control.configuration);
+      },
+    );
+    this.#addRoute("GET", "/admin/status", async (_request, response) => {
       await Promise.resolve();
       sendJson(response, OK_STATUS, this.#createStatus());
     });
-    this.#on("GET", "/admin/groups", async (_request, response) => {
+    this.#addRoute("GET", "/admin/groups", async (_request, response) => {
       await Promise.resolve();
       sendJson(response, OK_STATUS, { groups: this.#listGroups() });
     });
-    this.#on("POST", "/admin/hosts/:host/drain", async (request, response) => {
-      const body = await this.#readBody(request, DrainBody);
-      await this.#propose({
-        kind: "host-drained",
-        ...this.#createHeader(),
-        host: String(request.params.host),
-        ...body,
-      });
-      sendJson(response, OK_STATUS, {});
-    });
-    this.#on("POST", "/admin/drain", async (_request, response) => {
+    this.#addRoute(
+      "POST",
+      "/admin/hosts/:host/drain",
+      async (request, response) => {
+        const body = await this.#readBody(request, DrainBody);
+        await this.#propose({
+          kind: "host-drained",
+          ...this.#createRecordHeader(),
+          host: String(request.params.host),
+          ...body,
+        });
+        sendJson(response, OK_STATUS, {});
+      },
+    );
+    this.#addRoute("POST", "/admin/drain", async (_request, response) => {
       await Promise.resolve();
       this.#lifecycle.drain();
       sendJson(response, OK_STATUS, {});
     });
-    this.#on("GET", "/admin/dump", async (_request, response) => {
+    this.#addRoute("GET", "/admin/dump", async (_request, response) => {
       await Promise.resolve();
       sendJson(response, OK_STATUS, this.#kernel.dump());
     });
@@ -114,21 +126,21 @@
   }
 
   stop(): Promise<void> {
-    this.#stopping.abort();
+    this.#stopController.abort();
     return this.#listener.close();
   }
 
-  #on(method: "GET" | "POST", path: string, task: RequestTask): void {
+  #addRoute(method: "GET" | "POST", path: string, handler: RequestTask): void {
     const expected = hashSecret(this.#settings.node["admin-token"]);
     this.#listener.on(method, path, async (request, response) => {
       if (!isSameHash(hashSecret(readBearer(request)), expected)) {
         throw new Refusal(
           "unauthorized",
           "not-run",
-          "the administration token is wrong",
+          "the administration token is missing or invalid",
         );
       }
-      await task(request, response);
+      await handler(request, response);
     });
   }
 
@@ -139,7 +151,7 @@
     return readJson(request, this.#settings.limits["body-bytes"], schema);
   }
 
-  #createHeader(): { id: string; node: string } {
+  #createRecordHeader(): { id: string; node: string } {
     return { id: this.#random.id(), node: this.#settings.node.name };
   }
 
@@ -148,7 +160,7 @@
   ): Promise<{ status: number; body: unknown }> {
     const faults = parseRules(body.text).match({
       Ok: () => [],
-      Err: (all) => all,
+      Err: (ruleFaults) => ruleFaults,
     });
     const [fault] = faults;
     if (fault !== undefined) {
@@ -160,7 +172,7 @@
     }
     const record: ControlRecord = {
       kind: "configuration",
-      ...this.#createHeader(),
+      ...this.#createRecordHeader(),
       ...body,
     };
     const isAccepted = await this.#propose(record);
@@ -171,11 +183,14 @@
   }
 
   async #propose(record: ControlRecord): Promise<boolean> {
-    const decision = await this.#state.propose(record, this.#stopping.signal);
-    if (decision.isErr) {
-      throw decision.error;
+    const proposal = await this.#state.propose(
+      record,
+      this.#stopController.signal,
+    );
+    if (proposal.isErr) {
+      throw proposal.error;
     }
-    return decision.value.accepted;
+    return proposal.value.accepted;
   }
 
   #createStatus(): unknown {
--- a/packages/node/src/calls/append-queue.ts
+++ b/packages/node/src/calls/append-queue.ts
@@ -1,5 +1,5 @@
 /**
- * Appends call records to the log, several in one entry.
+ * Appends call records to the log in batches.
  *
  * @module
  */
@@ -18,13 +18,13 @@
 const RETRY_DELAY_MS = 200;
 
 /**
- * Records that wait for the log. One append is in flight at a time: the log
- * accepts several hundred appends a second over all nodes, so what arrives
- * meanwhile goes into the next one. A record is kept until it is appended or
- * read back.
+ * Queue of records to append to the log. At most one append is in flight: the
+ * log accepts several hundred appends a second from all nodes together, so
+ * records that arrive meanwhile go into the next batch. A record stays queued
+ * until its append succeeds or it is read from the log.
  */
 export class AppendQueue {
-  /** Notified when an append ends. */
+  /** Notified when an append succeeds or fails. */
   readonly appendEnded = new Condition();
   #clock: Clock;
   #logger: Logger;
@@ -40,22 +40,21 @@
     this.#log = log;
   }
 
-  /** Records that are not known to be in the log. */
+  /** Number of records not known to be in the log. */
   get size(): number {
     return this.#queued.size;
   }
 
-  /** Appends that failed since the last one that succeeded. */
+  /** Number of failed appends since the last successful one. */
   get consecutiveFailures(): number {
     return this.#consecutiveFailures;
   }
 
-  /** Appends that were begun. */
+  /** Number of appends started. */
   get appendCount(): number {
     return this.#appendCount;
   }
 
-  /** Puts a record at the end of the queue. */
   add(record: CallRecord): void {
     this.#queued.set(record.id, { record, isSent: false });
     this.#recordAdded.notify();
@@ -68,7 +67,7 @@
     return queued?.isSent ?? true;
   }
 
-  /** Notes that a record was read from the log. */
+  /** Removes a record that was read from the log. */
   markRead(id: string): void {
     this.#queued.delete(id);
   }
@@ -83,7 +82,7 @@
     return undefined;
   }
 
-  /** Appends whatever is added, until the signal aborts. */
+  /** Appends queued records until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.#recordAdded.until(() => this.#queued.size > 0, signal);
--- a/packages/node/src/calls/call-dispatcher.ts
+++ b/packages/node/src/calls/call-dispatcher.ts
@@ -1,5 +1,5 @@
 /**
- * Dispatches a call to the upstreams of a plain service.
+ * Dispatches calls to the upstreams of a plain service.
  *
  * @module
  */
@@ -14,12 +14,12 @@
   type ServiceReply,
 } from "./service-call.ts";
 
-/** Lets an upstream that knows keys refuse a repeat by itself. */
-const KEY_HEADER = "idempotency-key";
-/** Passes over all upstreams that a retry-safe call may make. */
-const RETRY_SAFE_PASSES = 2;
+/** Lets an upstream that supports idempotency keys detect repeats itself. */
+const IDEMPOTENCY_KEY_HEADER = "idempotency-key";
+/** How often a retry-safe call is tried at each upstream. */
+const MAX_RETRY_SAFE_PASSES = 2;
 
-/** Writes calls to upstreams. */
+/** Sends calls to upstreams. */
 export class CallDispatcher {
   #clock: Clock;
   #logger: Logger;
@@ -32,48 +32,48 @@
   }
 
   /**
-   * Dispatches once; goes on to the next upstream only while the call is known
-   * not to have run. The deadline is checked immediately before each write, as
-   * the node may have been paused.
+   * Dispatches a call that must run at most once. Tries the next upstream only
+   * if the call is known not to have run. The deadline is checked immediately
+   * before each send, as the process may have been paused.
    */
   async dispatchOnce(
     call: ServiceCall,
     deadline: number,
   ): Promise<ServiceReply> {
-    let last: Refusal | undefined;
+    let lastRefusal: Refusal | undefined;
     for (const address of call.service.upstreams) {
-      const reply = await this.#write(address, call, deadline);
+      const reply = await this.#sendTo(address, call, deadline);
       if (reply.isOk || reply.error.verdict !== "not-run") {
         return reply;
       }
-      last = reply.error;
+      lastRefusal = reply.error;
     }
-    return Result.err(last ?? createDeadlineRefusal());
+    return Result.err(lastRefusal ?? createDeadlineRefusal());
   }
 
-  /** Dispatches a call that may be repeated, until a reply comes. */
+  /** Dispatches a retry-safe call until an upstream replies. */
   async dispatchWithRetries(
     call: ServiceCall,
     deadline: number,
     signal: AbortSignal,
   ): Promise<ServiceReply> {
-    let last = createDeadlineRefusal();
-    for (let pass = 0; pass < RETRY_SAFE_PASSES; pass++) {
+    let refusal = createDeadlineRefusal();
+    for (let pass = 0; pass < MAX_RETRY_SAFE_PASSES; pass++) {
       for (const address of call.service.upstreams) {
         if (signal.aborted) {
-          return Result.err(last);
+          return Result.err(refusal);
         }
-        const reply = await this.#write(address, call, deadline, signal);
+        const reply = await this.#sendTo(address, call, deadline, signal);
         if (reply.isOk) {
           return reply;
         }
-        last = combineRefusals(last, reply.error);
+        refusal = combineRefusals(refusal, reply.error);
       }
     }
-    return Result.err(last);
+    return Result.err(refusal);
   }
 
-  async #write(
+  async #sendTo(
     address: string,
     call: ServiceCall,
     deadline: number,
@@ -89,7 +89,7 @@
       {
         method,
         path,
-        headers: { ...headers, [KEY_HEADER]: call.idempotencyKey },
+        headers: { ...headers, [IDEMPOTENCY_KEY_HEADER]: call.idempotencyKey },
         body,
       },
       remainingMs,
@@ -107,13 +107,17 @@
   }
 }
 
-const CERTAINTY: { readonly [Kind in Verdict]: number } = {
+/** Orders verdicts by how certain it is that the call ran. */
+const EXECUTION_CERTAINTY: { readonly [Kind in Verdict]: number } = {
   "not-run": 0,
   "may-have-run": 1,
   "ran": 2,
 };
 
-/** A later attempt that was not run does not undo an earlier one. */
-function combineRefusals(first: Refusal, second: Refusal): Refusal {
-  return CERTAINTY[second.verdict] >= CERTAINTY[first.verdict] ? second : first;
+/** Keeps the earlier refusal if the later one says less about execution. */
+function combineRefusals(earlier: Refusal, later: Refusal): Refusal {
+  return EXECUTION_CERTAINTY[later.verdict] >=
+      EXECUTION_CERTAINTY[earlier.verdict]
+    ? later
+    : earlier;
 }
--- a/packages/node/src/calls/call-executor.ts
+++ b/packages/node/src/calls/call-executor.ts
@@ -1,5 +1,6 @@
 /**
- * Calls to plain services; those that are not idempotent run at most once.
+ * Executes calls to plain services; calls that are not retry-safe run at most
+ * once.
  *
  * @module
  */
@@ -35,42 +36,46 @@
   type ServiceReply,
 } from "./service-call.ts";
 
-/** A call that is to run at most once, with its hashes and deadline. */
-interface OnceCall {
+/** A call that must run at most once, with its hashes and deadline. */
+interface KeyedCall {
   readonly call: ServiceCall;
-  readonly key: string;
+  readonly keyHash: string;
+  /** Hash of the method, path and body. */
   readonly bodyHash: string;
   readonly deadline: number;
 }
 
-const PAGE_ENTRIES = 500;
-const RETRY_PAUSE_MS = 200;
+const MAX_PAGE_ENTRIES = 500;
+const RETRY_DELAY_MS = 200;
 /**
- * Size up to which a reply is kept in the log with its outcome. A larger one is
- * given to the first caller only; a repeat is told that the call ran.
+ * Largest reply stored in the log with its outcome. A larger reply is returned
+ * only to the first caller; a repeat is refused with the verdict "ran".
  */
 const MAX_KEPT_REPLY_BYTES = 16 * 1024;
 /**
- * Failed appends in a row after which waiting intents are given up. One may be
- * a lost reply whose intent is about to be read.
+ * Consecutive failed appends after which pending claims are abandoned. A single
+ * failure may be a lost reply to an append whose intent is about to be read.
  */
-const MAX_APPEND_FAILURES = 2;
+const MAX_CONSECUTIVE_APPEND_FAILURES = 2;
 
-/** Makes calls and remembers those that must not be repeated. */
+/**
+ * Executes calls, and uses the log to detect repeats of calls that must run at
+ * most once.
+ */
 export class CallExecutor implements Service {
   #clock: Clock;
   #random: Random;
   #logger: Logger;
   #log: Log;
   #settings: Settings;
-  #dispatch: CallDispatcher;
+  #dispatcher: CallDispatcher;
   #queue: AppendQueue;
   #tasks: TaskGroup;
   #reducer: CallReducer;
-  #changed = new Condition();
+  #stateChanged = new Condition();
   #readUpTo = 0;
-  /** How often records expired before they were read. */
-  #gaps = 0;
+  /** How many times records expired before this node read them. */
+  #gapCount = 0;
   #isLogReadable = false;
 
   constructor(kernel: NodeKernel) {
@@ -79,7 +84,7 @@
     this.#logger = kernel.find("logger");
     this.#log = kernel.find("log");
     this.#settings = kernel.find("settings");
-    this.#dispatch = new CallDispatcher(
+    this.#dispatcher = new CallDispatcher(
       this.#clock,
       this.#logger,
       kernel.find("plainServices"),
@@ -94,23 +99,23 @@
   start(): void {
     this.#tasks.repeat(
       "read_calls",
-      RETRY_PAUSE_MS,
-      (signal) => this.#readStream(signal),
+      RETRY_DELAY_MS,
+      (signal) => this.#readLog(signal),
     );
     this.#tasks.repeat(
       "append_calls",
-      RETRY_PAUSE_MS,
+      RETRY_DELAY_MS,
       (signal) => this.#queue.run(signal),
     );
     this.#tasks.run("watch_appends", async (signal) => {
       while (!signal.aborted) {
         await this.#queue.appendEnded.wait(signal);
-        this.#changed.notify();
+        this.#stateChanged.notify();
       }
     });
   }
 
-  /** Appends the outcomes that wait, for as long as one append may take. */
+  /** Waits up to the log timeout for queued records to be appended. */
   async stop(): Promise<void> {
     await this.#waitUntil(
       () => this.#queue.size === 0,
@@ -122,7 +127,7 @@
   dump(): unknown {
     return {
       readUpTo: this.#readUpTo,
-      gaps: this.#gaps,
+      gaps: this.#gapCount,
       isLogReadable: this.#isLogReadable,
       remembered: this.#reducer.size,
       keptReplyBytes: this.#reducer.bodyBytes,
@@ -131,56 +136,63 @@
     };
   }
 
-  /** Makes a call, at most once unless its method may be repeated. */
+  /** Executes a call, at most once unless its method is retry-safe. */
   execute(call: ServiceCall, signal: AbortSignal): Promise<ServiceReply> {
     const deadline = this.#clock.now() + this.#settings.timing["call-deadline"];
     if (call.service["retry-safe"].includes(call.method)) {
-      return this.#dispatch.dispatchWithRetries(call, deadline, signal);
+      return this.#dispatcher.dispatchWithRetries(call, deadline, signal);
     }
-    return this.#callOnce({
+    return this.#executeOnce({
       call,
-      key: hashCallKey(call),
+      keyHash: hashCallKey(call),
       bodyHash: hashRequest(call),
       deadline,
     });
   }
 
-  /** Runs on when the caller has gone, so that the outcome is recorded. */
-  async #callOnce(once: OnceCall): Promise<ServiceReply> {
-    while (this.#clock.now() < once.deadline) {
-      const known = await this.#findEnded(once);
+  /** Continues after the caller disconnects, so the outcome is recorded. */
+  async #executeOnce(keyedCall: KeyedCall): Promise<ServiceReply> {
+    while (this.#clock.now() < keyedCall.deadline) {
+      const known = await this.#awaitFirstCall(keyedCall);
       if (known !== undefined) {
-        return createRepeatReply(known, once.bodyHash);
+        return createRepeatReply(known, keyedCall.bodyHash);
       }
       const intent = this.#random.id();
-      const claimed = await this.#claim(once, intent);
-      if (claimed.isErr) {
-        return Result.err(claimed.error);
+      const claim = await this.#claimKey(keyedCall, intent);
+      if (claim.isErr) {
+        return Result.err(claim.error);
       }
-      if (claimed.value) {
-        return this.#runClaimed(once, intent);
+      if (claim.value) {
+        return this.#dispatchClaimed(keyedCall, intent);
       }
     }
     return Result.err(createDeadlineRefusal());
   }
 
-  /** Waits while the first call of a key runs; undefined when it is free. */
-  async #findEnded(once: OnceCall): Promise<RememberedCall | undefined> {
-    const find = () => this.#findCall(once.key);
+  /**
+   * Waits while the first call with the key runs, if it is the same request.
+   * Resolves to that call, or to undefined when the key is free.
+   */
+  async #awaitFirstCall(
+    keyedCall: KeyedCall,
+  ): Promise<RememberedCall | undefined> {
+    const findFirstCall = () => this.#findFirstCall(keyedCall.keyHash);
     const isRunning = () => {
-      const known = find();
-      return known?.bodyHash === once.bodyHash && known.outcome === undefined;
+      const known = findFirstCall();
+      return known?.bodyHash === keyedCall.bodyHash &&
+        known.outcome === undefined;
     };
-    await this.#waitUntil(() => !isRunning(), once.deadline);
-    return find();
+    await this.#waitUntil(() => !isRunning(), keyedCall.deadline);
+    return findFirstCall();
   }
 
   /**
-   * What the log says of a key, and what this node is about to append. A new
-   * intent is queued behind the outcome that frees its key.
+   * Looks up the first call with a key in the records read so far and in the
+   * queue. A queued "not-run" outcome already frees the key, as a new intent is
+   * appended after it.
    */
-  #findCall(key: string): RememberedCall | undefined {
-    const known = this.#reducer.find(key);
+  #findFirstCall(keyHash: string): RememberedCall | undefined {
+    const known = this.#reducer.find(keyHash);
     if (known === undefined || known.outcome !== undefined) {
       return known;
     }
@@ -196,56 +208,75 @@
   }
 
   /**
-   * Appends an intent and waits until it is read. Resolves to whether it is the
-   * first for its key; a claim that is given up never runs.
+   * Appends an intent and waits until it is read from the log. Resolves to
+   * whether it is the first for its key. The call of an abandoned claim is never
+   * dispatched.
    */
-  async #claim(
-    once: OnceCall,
+  async #claimKey(
+    keyedCall: KeyedCall,
     intent: string,
   ): Promise<Result<boolean, Refusal>> {
     if (!this.#canRecord()) {
       return Result.err(createLogUnavailableRefusal());
     }
-    const { key, bodyHash } = once;
-    const gaps = this.#gaps;
+    const { keyHash, bodyHash } = keyedCall;
+    const initialGapCount = this.#gapCount;
     const node = this.#settings.node.name;
-    this.#queue.add({ kind: "intent", id: intent, node, key, bodyHash });
+    this.#queue.add({
+      kind: "intent",
+      id: intent,
+      node,
+      key: keyHash,
+      bodyHash,
+    });
     const isRead = () =>
-      this.#reducer.find(key)?.intent === intent ||
+      this.#reducer.find(keyHash)?.intent === intent ||
       this.#reducer.hasEnded(intent);
-    // After a gap this node may have missed an earlier intent for the key.
-    const isLost = () => !this.#canRecord() || this.#gaps !== gaps;
-    await this.#waitUntil(() => isRead() || isLost(), once.deadline);
-    if (this.#gaps !== gaps || !isRead()) {
-      this.#giveUp(once, intent);
+    // The expired records may include an earlier intent for the key.
+    const hasFailed = () =>
+      !this.#canRecord() || this.#gapCount !== initialGapCount;
+    await this.#waitUntil(() => isRead() || hasFailed(), keyedCall.deadline);
+    if (this.#gapCount !== initialGapCount || !isRead()) {
+      this.#abandonClaim(keyedCall, intent);
       return Result.err(createLogUnavailableRefusal());
     }
     return Result.ok(!this.#reducer.hasEnded(intent));
   }
 
   #canRecord(): boolean {
-    const isAppendable = this.#queue.size === 0 ||
-      this.#queue.consecutiveFailures < MAX_APPEND_FAILURES;
-    return this.#isLogReadable && isAppendable;
+    const canAppend = this.#queue.size === 0 ||
+      this.#queue.consecutiveFailures < MAX_CONSECUTIVE_APPEND_FAILURES;
+    return this.#isLogReadable && canAppend;
   }
 
-  #giveUp(once: OnceCall, intent: string): void {
+  #abandonClaim(keyedCall: KeyedCall, intent: string): void {
     const mayBeInLog = this.#queue.remove(intent);
     if (mayBeInLog) {
-      this.#conclude(once, intent, "not-run");
+      this.#recordOutcome(keyedCall, intent, "not-run");
     }
   }
 
-  async #runClaimed(once: OnceCall, intent: string): Promise<ServiceReply> {
-    const reply = await this.#dispatch.dispatchOnce(once.call, once.deadline);
+  async #dispatchClaimed(
+    keyedCall: KeyedCall,
+    intent: string,
+  ): Promise<ServiceReply> {
+    const reply = await this.#dispatcher.dispatchOnce(
+      keyedCall.call,
+      keyedCall.deadline,
+    );
     const verdict = reply.isOk ? "ran" : reply.error.verdict;
-    this.#conclude(once, intent, verdict, reply.isOk ? reply.value : undefined);
+    this.#recordOutcome(
+      keyedCall,
+      intent,
+      verdict,
+      reply.isOk ? reply.value : undefined,
+    );
     return reply;
   }
 
-  /** Records how a call ended; the caller's answer does not wait for it. */
-  #conclude(
-    once: OnceCall,
+  /** Queues the outcome of a call; its reply does not wait for the append. */
+  #recordOutcome(
+    keyedCall: KeyedCall,
     intent: string,
     verdict: Verdict,
     reply?: PlainReply,
@@ -256,7 +287,7 @@
       kind: "outcome",
       id: this.#random.id(),
       node: this.#settings.node.name,
-      key: once.key,
+      key: keyedCall.keyHash,
       intent,
       verdict,
       status: reply?.status ?? 0,
@@ -264,51 +295,51 @@
       body: isBodyOmitted ? "" : reply.body.toString("base64"),
       ...(isBodyOmitted ? { isBodyOmitted } : {}),
     });
-    this.#changed.notify();
+    this.#stateChanged.notify();
     this.#logger.info("call_ended", {
-      request: once.call.requestId,
-      service: once.call.service.name,
+      request: keyedCall.call.requestId,
+      service: keyedCall.call.service.name,
       intent,
       verdict,
     });
   }
 
-  /** Waits until a condition holds or the deadline has passed. */
+  /** Waits until a condition holds, the deadline passes or the node stops. */
   async #waitUntil(isMet: () => boolean, deadline: number): Promise<void> {
     try {
       await withDeadline(
         this.#clock,
         deadline - this.#clock.now(),
         this.#tasks.signal,
-        (signal) => this.#changed.until(isMet, signal),
+        (signal) => this.#stateChanged.until(isMet, signal),
       );
     } catch {
-      // The caller looks at the state itself, whatever ended the wait.
+      // Callers check the state themselves, whatever ended the wait.
     }
   }
 
-  async #readStream(signal: AbortSignal): Promise<void> {
+  async #readLog(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const page = await this.#log.read("calls", {
         from: this.#readUpTo + 1,
-        max: PAGE_ENTRIES,
-        // While the log is not known to answer, calls are refused, so the first
-        // read does not wait for an entry.
+        max: MAX_PAGE_ENTRIES,
+        // Calls are refused until a read of the log succeeds, so after a
+        // failure the read does not wait for new entries.
         waitMs: this.#isLogReadable ? this.#settings.platform["log-poll"] : 0,
       }, signal);
       this.#isLogReadable = page.isOk;
       if (page.isErr) {
-        this.#changed.notify();
+        this.#stateChanged.notify();
         return;
       }
       this.#applyPage(page.value);
-      this.#changed.notify();
+      this.#stateChanged.notify();
     }
   }
 
   #applyPage({ first, entries }: LogPage): void {
     if (first > this.#readUpTo + 1) {
-      this.#gaps++;
+      this.#gapCount++;
       this.#logger.warn("calls_expired_unread", {
         read_up_to: this.#readUpTo,
         first,
--- a/packages/node/src/calls/service-call.ts
+++ b/packages/node/src/calls/service-call.ts
@@ -1,5 +1,5 @@
 /**
- * Calls of client accounts to plain services, and what they are told.
+ * Calls of client accounts to plain services, their replies and refusals.
  *
  * @module
  */
@@ -16,7 +16,7 @@
   readonly account: string;
   readonly service: ServiceRule;
   readonly method: string;
-  /** The path after the service's name, with the query string. */
+  /** The path after the name of the service, with the query string. */
   readonly path: string;
   /** Headers for the upstream, in lower case. */
   readonly headers: Readonly<Record<string, string>>;
@@ -24,45 +24,45 @@
   readonly body: Buffer;
 }
 
-/** What a caller of a plain service receives. */
+/** The reply of a plain service, or why there is none. */
 export type ServiceReply = Result<PlainReply, Refusal>;
 
 const RETRY_AFTER_MS = 1000;
 
-/** Hashes what a key stands for: client account, service and key. */
+/** Hashes the client account, the service and the idempotency key. */
 export function hashCallKey(call: ServiceCall): string {
   return hashParts(call.account, call.service.name, call.idempotencyKey);
 }
 
-/** Hashes what must be the same when a key is used again. */
+/** Hashes what a repeat with the same key must have in common with the call. */
 export function hashRequest(call: ServiceCall): string {
   return hashParts(call.method, call.path, call.body);
 }
 
-/** Answers a repeat from what is remembered of the first call. */
+/** Creates the reply to a repeat from the record of the first call. */
 export function createRepeatReply(
-  known: RememberedCall,
+  remembered: RememberedCall,
   bodyHash: string,
 ): ServiceReply {
-  if (known.bodyHash !== bodyHash) {
+  if (remembered.bodyHash !== bodyHash) {
     return Result.err(
       new Refusal(
         "key-reused",
         "not-run",
-        "the idempotency key was used with another request",
+        "the idempotency key was already used with a different request",
       ),
     );
   }
-  if (known.outcome === undefined) {
+  if (remembered.outcome === undefined) {
     return Result.err(
       new Refusal(
         "call-in-progress",
         "may-have-run",
-        "the first call with this key has no known outcome",
+        "the first call with this idempotency key has no known outcome yet",
       ),
     );
   }
-  const { verdict, status, contentType, body } = known.outcome;
+  const { verdict, status, contentType, body } = remembered.outcome;
   if (verdict !== "ran") {
     return Result.err(createUpstreamRefusal(verdict));
   }
@@ -71,26 +71,30 @@
       new Refusal(
         "reply-not-kept",
         "ran",
-        `the call ran with status ${status}; its reply is not kept`,
+        `the call ran with status ${status}, but its reply is not available`,
       ),
     );
   }
   return Result.ok({ status, contentType, body: Buffer.from(body, "base64") });
 }
 
-/** The refusal of a call that cannot be recorded before it is dispatched. */
+/** Creates the refusal of a call that cannot be recorded before dispatch. */
 export function createLogUnavailableRefusal(): Refusal {
   return new Refusal(
     "log-unavailable",
     "not-run",
-    "the call cannot be recorded now",
+    "the call could not be recorded in the log",
     RETRY_AFTER_MS,
   );
 }
 
-/** The refusal of a call that was never dispatched in time. */
+/** Creates the refusal of a call that did not run before its deadline. */
 export function createDeadlineRefusal(): Refusal {
-  return new Refusal("deadline", "not-run", "the deadline passed");
+  return new Refusal(
+    "deadline",
+    "not-run",
+    "the deadline passed before the call ran",
+  );
 }
 
 const UPSTREAM_REFUSALS: { readonly [Kind in Verdict]: () => Refusal } = {
@@ -98,26 +102,26 @@
     new Refusal(
       "upstream-unavailable",
       "not-run",
-      "no upstream has taken the call",
+      "no upstream accepted the call",
       RETRY_AFTER_MS,
     ),
   "may-have-run": () =>
     new Refusal(
       "outcome-unknown",
       "may-have-run",
-      "the outcome of the call is not known",
+      "the outcome of the call is unknown",
     ),
   "ran": () =>
     new Refusal(
       "reply-not-kept",
       "ran",
-      "the call ran; its reply is too large",
+      "the call ran, but its reply is too large",
     ),
 };
 
 /**
- * The refusal of a call that got no usable reply from its upstream. It does not
- * name the upstream, which is no concern of the caller.
+ * Creates the refusal of a call that got no usable reply from an upstream. Its
+ * message does not expose which upstream it was.
  */
 export function createUpstreamRefusal(verdict: Verdict): Refusal {
   return UPSTREAM_REFUSALS[verdict]();
@@ -126,7 +130,7 @@
 function hashParts(...parts: readonly (string | Buffer)[]): string {
   const hash = createHash("sha256");
   for (const part of parts) {
-    // The length keeps two lists of parts from having the same bytes.
+    // The length prefix keeps different lists of parts from hashing alike.
     hash.update(`${Buffer.byteLength(part)}:`).update(part);
   }
   return hash.digest("base64url");
