--- a/packages/node/test/administration/administration.test.ts
+++ b/packages/node/test/administration/administration.test.ts
@@ -1,29 +1,30 @@
 import { afterEach, beforeEach, describe, expect, it } from "vitest";
 import { type RunningApi, startApi } from "../serving/public-api-fixture.ts";
 
-const TOKEN = "admin-token-of-tests";
+const ADMIN_TOKEN = "admin-token-of-tests";
 const PEER_TOKEN = "peer-token-of-tests";
-const TEXT = "model other version=1 hosts=1 replicas=0 # asked by the test";
+const RULES_TEXT =
+  "model other version=1 hosts=1 replicas=0 # asked by the test";
 
-interface Answer {
+interface AdminResponse {
   readonly status: number;
   readonly body: Record<string, unknown>;
 }
 
-describe("Administration over HTTP", () => {
-  let running: RunningApi;
+describe("Administration API", () => {
+  let api: RunningApi;
   beforeEach(async () => {
-    running = await startApi();
+    api = await startApi();
   });
-  afterEach(() => running.stop());
+  afterEach(() => api.stop());
 
   async function call(
     method: "GET" | "POST",
     path: string,
     body?: unknown,
-    token = TOKEN,
-  ): Promise<Answer> {
-    const address = running.node.find("settings").node["admin-address"];
+    token = ADMIN_TOKEN,
+  ): Promise<AdminResponse> {
+    const address = api.node.find("settings").node["admin-address"];
     const response = await fetch(`http://${address}${path}`, {
       method,
       headers: {
@@ -34,11 +35,11 @@
     });
     return {
       status: response.status,
-      body: (await response.json()) as Answer["body"],
+      body: (await response.json()) as AdminResponse["body"],
     };
   }
 
-  function publish(basis: number, text: string): Promise<Answer> {
+  function publish(basis: number, text: string): Promise<AdminResponse> {
     return call("POST", "/admin/configuration", { basis, text, author: "a" });
   }
 
@@ -50,38 +51,41 @@
           expect(status).toBe(401);
           expect(body.error).toMatchObject({ verdict: "not-run" });
         }
-        const drained = await call("POST", "/admin/drain", {}, token);
-        expect(drained.status).toBe(401);
+        const drainResponse = await call("POST", "/admin/drain", {}, token);
+        expect(drainResponse.status).toBe(401);
       }
-      expect(running.node.find("lifecycle").isStopping).toBe(false);
+      expect(api.node.find("lifecycle").isStopping).toBe(false);
     });
   });
 
   describe("configuration", () => {
-    it("names the line of a fault and keeps what is in force", async () => {
+    it("reports the line of a fault and keeps the configuration in force", async () => {
       const before = await call("GET", "/admin/configuration");
       const basis = Number(before.body.version);
-      const { status, body } = await publish(basis, `${TEXT}\nmodel broken`);
+      const { status, body } = await publish(
+        basis,
+        `${RULES_TEXT}\nmodel broken`,
+      );
       expect(status).toBe(400);
       expect(JSON.stringify(body)).toContain("line 2");
       expect(await call("GET", "/admin/configuration")).toEqual(before);
     });
 
-    it("answers a lost race with the version and text in force", async () => {
+    it("answers a publish with an outdated basis with the version in force", async () => {
       const { body: { version } } = await call("GET", "/admin/configuration");
-      const first = await publish(Number(version), TEXT);
+      const first = await publish(Number(version), RULES_TEXT);
       expect(first.status).toBe(200);
-      const second = await publish(Number(version), `${TEXT} again`);
+      const second = await publish(Number(version), `${RULES_TEXT} again`);
       expect(second).toEqual({
         status: 409,
-        body: { version: first.body.version, text: TEXT },
+        body: { version: first.body.version, text: RULES_TEXT },
       });
     });
   });
 
   describe("drain of a host", () => {
     it("takes effect and can be reversed", async () => {
-      const { drainedHosts } = running.node.find("state").control;
+      const { drainedHosts } = api.node.find("state").control;
       for (const drained of [true, false]) {
         const path = "/admin/hosts/h1/drain";
         expect((await call("POST", path, { drained })).status).toBe(200);
@@ -96,7 +100,7 @@
       expect(status).toBe(200);
       const text = JSON.stringify(body);
       expect(text).toContain("isPartial");
-      expect(text).not.toContain(TOKEN);
+      expect(text).not.toContain(ADMIN_TOKEN);
       expect(text).not.toContain(PEER_TOKEN);
     });
   });
--- a/packages/node/test/calls/calls-properties.test.ts
+++ b/packages/node/test/calls/calls-properties.test.ts
@@ -2,124 +2,139 @@
 import { LOG_END } from "@zinniahill/stand-ins";
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
-import { type CallNode, CallWorld, RECORDS, type Told } from "./fixture.ts";
+import {
+  CallCluster,
+  type CallNode,
+  type CallResult,
+  RECORDS_ADDRESS,
+} from "./fixture.ts";
 
-const NODES = 3;
-const KEYS = 2;
-const RUNS = 150;
-const MODES: readonly LinkMode[] = ["pass", "refuse", "silent", "reply-lost"];
+const NODE_COUNT = 3;
+const KEY_COUNT = 2;
+const RUNS_PER_SEED = 150;
+const LINK_MODES: readonly LinkMode[] = [
+  "pass",
+  "refuse",
+  "silent",
+  "reply-lost",
+];
 
-interface Running {
-  readonly world: CallWorld;
+interface Run {
+  readonly cluster: CallCluster;
   readonly nodes: readonly CallNode[];
-  readonly tries: { readonly key: string; readonly answer: { told?: Told } }[];
+  readonly calls: {
+    readonly key: string;
+    readonly pendingCall: { result?: CallResult };
+  }[];
 }
 
 interface Step {
   readonly kind: StepKind;
   readonly node: number;
-  readonly choice: number;
+  readonly parameter: number;
   readonly pauseMs: number;
 }
 
-/** What happens at one step of a run. */
-const STEPS = {
-  call: ({ world, nodes, tries }, { node, choice }) => {
-    const key = `key-${choice % KEYS}`;
-    tries.push({ key, answer: world.begin(nodes[node]!, key) });
+/** Handlers of the kinds of step. */
+const STEP_HANDLERS = {
+  call: ({ cluster, nodes, calls }, { node, parameter }) => {
+    const key = `key-${parameter % KEY_COUNT}`;
+    calls.push({ key, pendingCall: cluster.startCall(nodes[node]!, key) });
   },
-  "log-link": ({ world, nodes }, { node, choice }) => {
-    const mode = MODES[choice]!;
-    world.platform.network.setMode(nodes[node]!.name, LOG_END, mode);
+  "log-link": ({ cluster, nodes }, { node, parameter }) => {
+    const mode = LINK_MODES[parameter]!;
+    cluster.platform.network.setMode(nodes[node]!.name, LOG_END, mode);
   },
-  "upstream-link": ({ world, nodes }, { node, choice }) => {
-    const mode = MODES[choice]!;
-    world.platform.network.setMode(nodes[node]!.name, RECORDS, mode);
+  "upstream-link": ({ cluster, nodes }, { node, parameter }) => {
+    const mode = LINK_MODES[parameter]!;
+    cluster.platform.network.setMode(nodes[node]!.name, RECORDS_ADDRESS, mode);
   },
-  "log-down": ({ world }, { choice }) => {
-    world.platform.log.faults.isDown = choice % 2 === 0;
+  "log-down": ({ cluster }, { parameter }) => {
+    cluster.platform.log.faults.isDown = parameter % 2 === 0;
   },
-  "log-delay": ({ world }, { choice }) => {
-    world.platform.log.faults.delayMs = choice * 900;
+  "log-delay": ({ cluster }, { parameter }) => {
+    cluster.platform.log.faults.delayMs = parameter * 900;
   },
-  "log-replies": ({ world }, { choice }) => {
-    world.platform.log.faults.repliesToLose = choice;
+  "log-replies": ({ cluster }, { parameter }) => {
+    cluster.platform.log.faults.repliesToLose = parameter;
   },
-  "upstream-refuses": ({ world }, { choice }) => {
-    world.records.refuses = choice % 2 === 0;
+  "upstream-refuses": ({ cluster }, { parameter }) => {
+    cluster.recordService.refuses = parameter % 2 === 0;
   },
-  "upstream-delay": ({ world }, { choice }) => {
-    world.records.delayMs = choice * 4000;
+  "upstream-delay": ({ cluster }, { parameter }) => {
+    cluster.recordService.delayMs = parameter * 4000;
   },
-  "node-pause": ({ nodes }, { node, choice }) => {
-    nodes[node]!.clock.pausedMs += choice * 6000;
+  "node-pause": ({ nodes }, { node, parameter }) => {
+    nodes[node]!.clock.pausedMs += parameter * 6000;
   },
-} satisfies Record<string, (running: Running, step: Step) => void>;
+} satisfies Record<string, (run: Run, step: Step) => void>;
 
-type StepKind = keyof typeof STEPS;
+type StepKind = keyof typeof STEP_HANDLERS;
 
-const KINDS = Object.keys(STEPS) as StepKind[];
-const step: fc.Arbitrary<Step> = fc.record({
+const STEP_KINDS = Object.keys(STEP_HANDLERS) as StepKind[];
+const stepArbitrary: fc.Arbitrary<Step> = fc.record({
   kind: fc.oneof(
     { weight: 3, arbitrary: fc.constant<StepKind>("call") },
-    { weight: 4, arbitrary: fc.constantFrom(...KINDS) },
+    { weight: 4, arbitrary: fc.constantFrom(...STEP_KINDS) },
   ),
-  node: fc.nat(NODES - 1),
-  choice: fc.nat(MODES.length - 1),
+  node: fc.nat(NODE_COUNT - 1),
+  parameter: fc.nat(LINK_MODES.length - 1),
   pauseMs: fc.oneof(
     fc.constantFrom(0, 0.25, 0.5, 1),
     fc.integer({ min: 1, max: 4000 }),
   ),
 });
 
-async function run(steps: readonly Step[]): Promise<Running> {
-  const world = new CallWorld();
+async function runSteps(steps: readonly Step[]): Promise<Run> {
+  const cluster = new CallCluster();
   const nodes: CallNode[] = [];
-  for (let index = 0; index < NODES; index++) {
-    nodes.push(await world.startNode(`node-${index}`, index + 1));
+  for (let index = 0; index < NODE_COUNT; index++) {
+    nodes.push(await cluster.startNode(`node-${index}`, index + 1));
   }
-  const running: Running = { world, nodes, tries: [] };
-  for (const item of steps) {
-    STEPS[item.kind](running, item);
-    await world.clock.advance(item.pauseMs);
+  const run: Run = { cluster, nodes, calls: [] };
+  for (const step of steps) {
+    STEP_HANDLERS[step.kind](run, step);
+    await cluster.clock.advance(step.pauseMs);
   }
-  await world.clock.advance(30_000);
-  return running;
+  await cluster.clock.advance(30_000);
+  return run;
 }
 
-async function stopAll({ world, nodes }: Running): Promise<void> {
+async function stopAll({ cluster, nodes }: Run): Promise<void> {
   const stopped = Promise.all(nodes.map((node) => node.stop()));
-  await world.clock.advance(10_000);
+  await cluster.clock.advance(10_000);
   await stopped;
 }
 
 describe("calls under random faults", () => {
   describe.each([11, 12, 13, 14])("with seed %i", (seed) => {
-    it("never run twice, and were not run when every try says so", async () => {
+    it("run at most once, and never when every caller was told not-run", async () => {
       await fc.assert(
         fc.asyncProperty(
-          fc.array(step, { minLength: 4, maxLength: 30 }),
+          fc.array(stepArbitrary, { minLength: 4, maxLength: 30 }),
           async (steps) => {
-            const running = await run(steps);
-            const { world, tries } = running;
-            for (let index = 0; index < KEYS; index++) {
+            const run = await runSteps(steps);
+            const { cluster, calls } = run;
+            for (let index = 0; index < KEY_COUNT; index++) {
               const key = `key-${index}`;
-              const runs = world.records.countRuns(key);
-              const told = tries.filter((item) => item.key === key)
-                .map(({ answer }) => answer.told);
-              expect(told.every((item) => item !== undefined)).toBe(true);
+              const runs = cluster.recordService.countRuns(key);
+              const results = calls.filter((call) => call.key === key)
+                .map(({ pendingCall }) => pendingCall.result);
+              expect(results.every((result) => result !== undefined)).toBe(
+                true,
+              );
               expect(runs).toBeLessThanOrEqual(1);
-              if (told.every((item) => item?.verdict === "not-run")) {
+              if (results.every((result) => result?.verdict === "not-run")) {
                 expect(runs).toBe(0);
               }
-              if (told.some((item) => item?.status !== undefined)) {
+              if (results.some((result) => result?.status !== undefined)) {
                 expect(runs).toBe(1);
               }
             }
-            await stopAll(running);
+            await stopAll(run);
           },
         ),
-        { seed, numRuns: RUNS },
+        { seed, numRuns: RUNS_PER_SEED },
       );
     });
   });
--- a/packages/node/test/calls/calls.test.ts
+++ b/packages/node/test/calls/calls.test.ts
@@ -3,220 +3,229 @@
 import { ServiceRule } from "@zinniahill/schema";
 import { beforeEach, describe, expect, it } from "vitest";
 import {
+  CallCluster,
   type CallNode,
-  CallWorld,
   type PausableClock,
-  RECORDS,
-  SECOND_RECORDS,
+  RECORDS_ADDRESS,
+  SECOND_RECORDS_ADDRESS,
 } from "./fixture.ts";
 
 describe("Calls", () => {
-  let world: CallWorld;
+  let cluster: CallCluster;
   let a: CallNode;
   let b: CallNode;
 
   beforeEach(async () => {
-    world = new CallWorld();
-    a = await world.startNode("a", 1);
-    b = await world.startNode("b", 2);
+    cluster = new CallCluster();
+    a = await cluster.startNode("a", 1);
+    b = await cluster.startNode("b", 2);
   });
 
   describe("repeats", () => {
     it("answers a repeat at another node with the first reply", async () => {
-      const first = await world.call(a, "k");
-      const second = await world.call(b, "k");
+      const first = await cluster.completeCall(a, "k");
+      const second = await cluster.completeCall(b, "k");
       expect(first).toMatchObject({ status: 201 });
       expect(second).toEqual(first);
-      expect(world.records.countRuns("k")).toBe(1);
+      expect(cluster.recordService.countRuns("k")).toBe(1);
     });
 
-    it("makes a repeat wait for the outcome of a call that runs", async () => {
-      world.records.delayMs = 3000;
-      const first = world.begin(a, "k");
-      await world.clock.advance(100);
-      const second = world.begin(b, "k");
-      await world.clock.advance(2000);
-      expect(second.told).toBeUndefined();
-      await world.clock.advance(2000);
-      expect(second.told).toEqual(first.told);
-      expect(second.told?.status).toBe(201);
-      expect(world.records.countRuns("k")).toBe(1);
+    it("makes a repeat wait for the outcome of the running call", async () => {
+      cluster.recordService.delayMs = 3000;
+      const first = cluster.startCall(a, "k");
+      await cluster.clock.advance(100);
+      const second = cluster.startCall(b, "k");
+      await cluster.clock.advance(2000);
+      expect(second.result).toBeUndefined();
+      await cluster.clock.advance(2000);
+      expect(second.result).toEqual(first.result);
+      expect(second.result?.status).toBe(201);
+      expect(cluster.recordService.countRuns("k")).toBe(1);
     });
 
     it("answers may-have-run when the running call outlasts the repeat", async () => {
-      world.records.delayMs = 30_000;
-      world.begin(a, "k");
-      await world.clock.advance(5000);
-      world.platform.network.setModeOfEnd("a", "silent");
-      const told = await world.call(b, "k");
-      expect(told).toEqual({
+      cluster.recordService.delayMs = 30_000;
+      cluster.startCall(a, "k");
+      await cluster.clock.advance(5000);
+      cluster.platform.network.setModeOfEnd("a", "silent");
+      const result = await cluster.completeCall(b, "k");
+      expect(result).toEqual({
         verdict: "may-have-run",
         code: "call-in-progress",
       });
-      expect(world.records.countRuns("k")).toBe(1);
+      expect(cluster.recordService.countRuns("k")).toBe(1);
     });
 
-    it("runs one of two that begin at the same moment on two nodes", async () => {
-      const answers = [world.begin(a, "k"), world.begin(b, "k")];
-      await world.clock.advance(1000);
-      expect(answers[0]!.told?.status).toBe(201);
-      expect(answers[1]!.told).toEqual(answers[0]!.told);
-      expect(world.records.countRuns("k")).toBe(1);
+    it("runs one of two calls that start at the same time on two nodes", async () => {
+      const pendingCalls = [
+        cluster.startCall(a, "k"),
+        cluster.startCall(b, "k"),
+      ];
+      await cluster.clock.advance(1000);
+      expect(pendingCalls[0]!.result?.status).toBe(201);
+      expect(pendingCalls[1]!.result).toEqual(pendingCalls[0]!.result);
+      expect(cluster.recordService.countRuns("k")).toBe(1);
     });
 
-    it("refuses a key that is used again with another body", async () => {
-      await world.call(a, "k");
-      const told = await world.call(b, "k", { body: Buffer.from("other") });
-      expect(told).toEqual({ verdict: "not-run", code: "key-reused" });
-      expect(world.records.countRuns("k")).toBe(1);
+    it("refuses a key that is reused with a different body", async () => {
+      await cluster.completeCall(a, "k");
+      const result = await cluster.completeCall(b, "k", {
+        body: Buffer.from("other"),
+      });
+      expect(result).toEqual({ verdict: "not-run", code: "key-reused" });
+      expect(cluster.recordService.countRuns("k")).toBe(1);
     });
 
     it("keeps the keys of two client accounts apart", async () => {
-      await world.call(a, "k");
-      const told = await world.call(b, "k", { account: "south" });
-      expect(told.status).toBe(201);
-      expect(world.records.countRuns("k")).toBe(2);
+      await cluster.completeCall(a, "k");
+      const result = await cluster.completeCall(b, "k", { account: "south" });
+      expect(result.status).toBe(201);
+      expect(cluster.recordService.countRuns("k")).toBe(2);
     });
 
-    it("lets a key run after an explicit refusal of its first call", async () => {
-      world.records.refuses = true;
-      const first = await world.call(a, "k");
-      world.records.refuses = false;
-      const second = await world.call(b, "k");
+    it("runs a repeat after an upstream refused the first call", async () => {
+      cluster.recordService.refuses = true;
+      const first = await cluster.completeCall(a, "k");
+      cluster.recordService.refuses = false;
+      const second = await cluster.completeCall(b, "k");
       expect(first.verdict).toBe("not-run");
       expect(second.status).toBe(201);
-      expect(world.records.countRuns("k")).toBe(1);
+      expect(cluster.recordService.countRuns("k")).toBe(1);
     });
 
-    it("tells a repeat that a reply too large to keep has run", async () => {
+    it("answers ran to a repeat when the reply is too large to keep", async () => {
       const large = Buffer.alloc(20_000);
-      const handle = world.records.handle.bind(world.records);
-      world.records.handle = async (call) =>
+      const handle = cluster.recordService.handle.bind(cluster.recordService);
+      cluster.recordService.handle = async (call) =>
         (await handle(call)).map((reply) => ({ ...reply, body: large }));
-      const first = await world.call(a, "k");
-      const second = await world.call(b, "k");
+      const first = await cluster.completeCall(a, "k");
+      const second = await cluster.completeCall(b, "k");
       expect(first.body?.length).toBe(large.length);
       expect(second).toEqual({ verdict: "ran", code: "reply-not-kept" });
-      expect(world.records.countRuns("k")).toBe(1);
+      expect(cluster.recordService.countRuns("k")).toBe(1);
     });
   });
 
   describe("the log", () => {
     it("runs once when the reply to the append of the intent is lost", async () => {
-      world.platform.log.faults.repliesToLose = 1;
-      const told = await world.call(a, "k");
-      await world.call(b, "k");
-      expect(told.status).toBe(201);
-      expect(world.records.countRuns("k")).toBe(1);
+      cluster.platform.log.faults.repliesToLose = 1;
+      const result = await cluster.completeCall(a, "k");
+      await cluster.completeCall(b, "k");
+      expect(result.status).toBe(201);
+      expect(cluster.recordService.countRuns("k")).toBe(1);
     });
 
-    it("refuses at once and before dispatch when the log is down", async () => {
-      world.platform.log.faults.isDown = true;
-      await world.clock.advance(2000);
-      const answer = world.begin(a, "k");
-      await world.clock.advance(1);
-      expect(answer.told).toEqual({
+    it("refuses immediately, before dispatch, when the log is down", async () => {
+      cluster.platform.log.faults.isDown = true;
+      await cluster.clock.advance(2000);
+      const pendingCall = cluster.startCall(a, "k");
+      await cluster.clock.advance(1);
+      expect(pendingCall.result).toEqual({
         verdict: "not-run",
         code: "log-unavailable",
       });
-      expect(world.records.countRuns("k")).toBe(0);
+      expect(cluster.recordService.countRuns("k")).toBe(0);
     });
 
-    it("never runs an intent that is read after its caller was refused", async () => {
-      world.platform.log.faults.delayMs = 20_000;
-      const told = await world.call(a, "k");
-      expect(told.verdict).toBe("not-run");
-      world.platform.log.faults.delayMs = 0;
-      await world.clock.advance(60_000);
-      expect(world.records.countRuns("k")).toBe(0);
-      const again = await world.call(b, "k");
+    it("never runs a call whose intent is read after its caller was refused", async () => {
+      cluster.platform.log.faults.delayMs = 20_000;
+      const result = await cluster.completeCall(a, "k");
+      expect(result.verdict).toBe("not-run");
+      cluster.platform.log.faults.delayMs = 0;
+      await cluster.clock.advance(60_000);
+      expect(cluster.recordService.countRuns("k")).toBe(0);
+      const again = await cluster.completeCall(b, "k");
       expect(again.status).toBe(201);
-      expect(world.records.countRuns("k")).toBe(1);
+      expect(cluster.recordService.countRuns("k")).toBe(1);
     });
 
-    it("keeps an outcome through an outage and appends it afterwards", async () => {
-      world.records.delayMs = 1000;
-      const first = world.begin(a, "k");
-      await world.clock.advance(500);
-      world.platform.log.faults.isDown = true;
-      await world.clock.advance(1000);
-      expect(first.told?.status).toBe(201);
-      const repeat = await world.call(a, "k");
-      expect(repeat).toEqual(first.told);
-      world.platform.log.faults.isDown = false;
-      await world.clock.advance(2000);
-      expect(await world.call(b, "k")).toEqual(first.told);
-      expect(world.records.countRuns("k")).toBe(1);
+    it("keeps an outcome during a log outage and appends it afterwards", async () => {
+      cluster.recordService.delayMs = 1000;
+      const first = cluster.startCall(a, "k");
+      await cluster.clock.advance(500);
+      cluster.platform.log.faults.isDown = true;
+      await cluster.clock.advance(1000);
+      expect(first.result?.status).toBe(201);
+      const repeat = await cluster.completeCall(a, "k");
+      expect(repeat).toEqual(first.result);
+      cluster.platform.log.faults.isDown = false;
+      await cluster.clock.advance(2000);
+      expect(await cluster.completeCall(b, "k")).toEqual(first.result);
+      expect(cluster.recordService.countRuns("k")).toBe(1);
     });
 
-    it("puts the records of calls that wait into one append", async () => {
-      world.platform.log.faults.delayMs = 50;
-      const before = world.platform.log.entries("calls").length;
-      const answers = Array.from(
+    it("batches the records of concurrent calls", async () => {
+      cluster.platform.log.faults.delayMs = 50;
+      const initialCount = cluster.platform.log.entries("calls").length;
+      const pendingCalls = Array.from(
         { length: 100 },
-        (_, index) => world.begin(a, `k${index}`),
+        (_, index) => cluster.startCall(a, `k${index}`),
+      );
+      await cluster.clock.advance(2000);
+      const appends = cluster.platform.log.entries("calls").length -
+        initialCount;
+      expect(pendingCalls.every(({ result }) => result?.status === 201)).toBe(
+        true,
       );
-      await world.clock.advance(2000);
-      const appends = world.platform.log.entries("calls").length - before;
-      expect(answers.every(({ told }) => told?.status === 201)).toBe(true);
       expect(appends).toBeLessThanOrEqual(5);
     });
   });
 
   describe("expiry", () => {
-    it("gives up a claim when records expired before they were read", async () => {
-      // The cut node appends its intent, but reads neither the intent of the
-      // other node, which ran, nor its own, before both expire.
-      let isCut = false;
-      const cut = await world.startNode("cut", 4, (log): Log => ({
+    it("abandons a claim when records expired before they were read", async () => {
+      // The partitioned node appends its intent, but both that intent and the
+      // earlier one of node a, whose call ran, expire before it reads them. Its
+      // own intent is then appended again, so it looks like the first.
+      let isPartitioned = false;
+      const partitionedNode = await cluster.startNode("cut", 4, (log): Log => ({
         ...log,
         read: async (stream, range, signal) => {
           const page = await log.read(stream, range, signal);
-          while (isCut) {
-            await world.clock.sleep(10, signal);
+          while (isPartitioned) {
+            await cluster.clock.sleep(10, signal);
           }
-          return isCut ? page : log.read(stream, range, signal);
+          return isPartitioned ? page : log.read(stream, range, signal);
         },
       }));
-      isCut = true;
-      await world.clock.advance(1100);
-      const first = world.begin(a, "k");
-      await world.clock.advance(100);
-      const second = world.begin(cut, "k");
-      await world.clock.advance(100);
-      const intents = world.platform.log.entries("calls")
+      isPartitioned = true;
+      await cluster.clock.advance(1100);
+      const first = cluster.startCall(a, "k");
+      await cluster.clock.advance(100);
+      const second = cluster.startCall(partitionedNode, "k");
+      await cluster.clock.advance(100);
+      const intents = cluster.platform.log.entries("calls")
         .filter(({ records }) => JSON.stringify(records).includes("intent"));
-      const own = intents.at(-1)!;
-      world.platform.log.expire("calls", own.offset);
-      world.platform.log.append("calls", own.records);
-      isCut = false;
-      await world.clock.advance(11_000);
-      expect(first.told?.status).toBe(201);
-      expect(second.told?.verdict).toBe("not-run");
-      expect(world.records.countRuns("k")).toBe(1);
+      const ownIntent = intents.at(-1)!;
+      cluster.platform.log.expire("calls", ownIntent.offset);
+      cluster.platform.log.append("calls", ownIntent.records);
+      isPartitioned = false;
+      await cluster.clock.advance(11_000);
+      expect(first.result?.status).toBe(201);
+      expect(second.result?.verdict).toBe("not-run");
+      expect(cluster.recordService.countRuns("k")).toBe(1);
     });
   });
 
-  describe("pauses and deaths", () => {
-    it("does not dispatch after a pause past the deadline", async () => {
-      const paused = await world.startNode("paused", 5, createPausingLog);
-      const told = await world.call(paused, "k");
-      expect(told).toEqual({ verdict: "not-run", code: "deadline" });
-      expect(world.records.countRuns("k")).toBe(0);
-      expect((await world.call(b, "k")).status).toBe(201);
+  describe("pauses and lost nodes", () => {
+    it("does not dispatch after a pause that outlasts the deadline", async () => {
+      const paused = await cluster.startNode("paused", 5, createPausingLog);
+      const result = await cluster.completeCall(paused, "k");
+      expect(result).toEqual({ verdict: "not-run", code: "deadline" });
+      expect(cluster.recordService.countRuns("k")).toBe(0);
+      expect((await cluster.completeCall(b, "k")).status).toBe(201);
     });
 
-    const STEPS_MS = [0, 0.25, 0.5, 0.75, 1, 1.25, 1.5, 1.75, 2];
-    it.each(STEPS_MS)(
-      "runs at most once when the node dies %d ms into the call",
-      async (stepMs) => {
-        world.begin(a, "k");
-        await world.clock.advance(stepMs);
-        world.platform.network.setModeOfEnd("a", "silent");
-        const told = await world.call(b, "k");
-        const runs = world.records.countRuns("k");
+    const CUT_OFF_TIMES_MS = [0, 0.25, 0.5, 0.75, 1, 1.25, 1.5, 1.75, 2];
+    it.each(CUT_OFF_TIMES_MS)(
+      "runs at most once when the node is cut off %d ms into the call",
+      async (cutOffMs) => {
+        cluster.startCall(a, "k");
+        await cluster.clock.advance(cutOffMs);
+        cluster.platform.network.setModeOfEnd("a", "silent");
+        const result = await cluster.completeCall(b, "k");
+        const runs = cluster.recordService.countRuns("k");
         expect(runs).toBeLessThanOrEqual(1);
-        expect(told.status === 201 || told.verdict === "may-have-run")
+        expect(result.status === 201 || result.verdict === "may-have-run")
           .toBe(true);
       },
     );
@@ -224,42 +233,47 @@
 
   describe("upstreams", () => {
     it("tries the next upstream only after a refused connection", async () => {
-      const second = world.platform.addRecordService(SECOND_RECORDS);
-      const service = createTwoUpstreams();
-      world.platform.network.setMode("a", RECORDS, "refuse");
-      const told = await world.call(a, "k", { service });
-      expect(told.status).toBe(201);
-      expect(second.countRuns("k") + world.records.countRuns("k")).toBe(1);
+      const second = cluster.platform.addRecordService(SECOND_RECORDS_ADDRESS);
+      const service = createServiceWithTwoUpstreams();
+      cluster.platform.network.setMode("a", RECORDS_ADDRESS, "refuse");
+      const result = await cluster.completeCall(a, "k", { service });
+      expect(result.status).toBe(201);
+      expect(second.countRuns("k") + cluster.recordService.countRuns("k")).toBe(
+        1,
+      );
     });
 
     it("never tries the next upstream after a lost reply", async () => {
-      const second = world.platform.addRecordService(SECOND_RECORDS);
-      const service = createTwoUpstreams();
-      world.platform.network.setMode("a", RECORDS, "reply-lost");
-      const told = await world.call(a, "k", { service });
-      expect(told.verdict).toBe("may-have-run");
+      const second = cluster.platform.addRecordService(SECOND_RECORDS_ADDRESS);
+      const service = createServiceWithTwoUpstreams();
+      cluster.platform.network.setMode("a", RECORDS_ADDRESS, "reply-lost");
+      const result = await cluster.completeCall(a, "k", { service });
+      expect(result.verdict).toBe("may-have-run");
       expect(second.countRuns("k")).toBe(0);
-      const repeat = await world.call(b, "k", { service });
+      const repeat = await cluster.completeCall(b, "k", { service });
       expect(repeat.verdict).toBe("may-have-run");
-      expect(world.records.countRuns("k")).toBe(1);
+      expect(cluster.recordService.countRuns("k")).toBe(1);
     });
 
     it("does not report not-run when an earlier attempt may have run", async () => {
-      const service = createTwoUpstreams();
-      world.platform.network.setMode("a", RECORDS, "reply-lost");
-      world.platform.network.setMode("a", SECOND_RECORDS, "refuse");
-      const told = await world.call(a, "k", { service, method: "GET" });
-      expect(told.verdict).toBe("may-have-run");
+      const service = createServiceWithTwoUpstreams();
+      cluster.platform.network.setMode("a", RECORDS_ADDRESS, "reply-lost");
+      cluster.platform.network.setMode("a", SECOND_RECORDS_ADDRESS, "refuse");
+      const result = await cluster.completeCall(a, "k", {
+        service,
+        method: "GET",
+      });
+      expect(result.verdict).toBe("may-have-run");
     });
   });
 });
 
-function createTwoUpstreams(): ServiceRule {
-  const upstreams = `${RECORDS},${SECOND_RECORDS}`;
+function createServiceWithTwoUpstreams(): ServiceRule {
+  const upstreams = `${RECORDS_ADDRESS},${SECOND_RECORDS_ADDRESS}`;
   return ServiceRule.parse({ name: "records", upstreams });
 }
 
-/** Pauses the node for a minute once it has received its own intent. */
+/** Pauses the node for a minute after it first reads an intent. */
 function createPausingLog(log: Log, clock: PausableClock): Log {
   return {
     ...log,
--- a/packages/node/test/calls/fixture.ts
+++ b/packages/node/test/calls/fixture.ts
@@ -1,5 +1,5 @@
 /**
- * Nodes that only make calls, on the platform in memory.
+ * Runs nodes with only the call executor on the in-memory platform.
  *
  * @module
  */
@@ -19,18 +19,18 @@
 import type { ServiceCall } from "../../src/calls/service-call.ts";
 import type { Services } from "../../src/services.ts";
 
-export const RECORDS = "10.0.0.1:9001";
-export const SECOND_RECORDS = "10.0.0.2:9001";
+export const RECORDS_ADDRESS = "10.0.0.1:9001";
+export const SECOND_RECORDS_ADDRESS = "10.0.0.2:9001";
 export const CALL_DEADLINE_MS = 10_000;
 
-const SILENT_LOGGER = {
+const NOOP_LOGGER = {
   error: () => {},
   warn: () => {},
   info: () => {},
   debug: () => {},
 };
 
-/** A clock that a test can move ahead, as after a pause of the process. */
+/** A clock that a test can advance to simulate a pause of the process. */
 export class PausableClock implements Clock {
   pausedMs = 0;
   #clock: ManualClock;
@@ -56,7 +56,7 @@
   }
 }
 
-/** One node of a test. */
+/** A node that runs only the call executor. */
 export interface CallNode {
   readonly name: string;
   readonly calls: CallExecutor;
@@ -64,21 +64,23 @@
   stop(): Promise<void>;
 }
 
-/** What a caller was told. */
-export interface Told {
+/** The status and body of a reply, or the verdict and code of a refusal. */
+export interface CallResult {
   readonly status?: number;
   readonly body?: string;
   readonly verdict?: string;
   readonly code?: string;
 }
 
-/** The platform with its nodes and one record service. */
-export class CallWorld {
+/** The in-memory platform with one record service, and nodes to be started. */
+export class CallCluster {
   readonly clock = new ManualClock();
   readonly platform = new MemoryPlatform(this.clock);
-  readonly records: RecordModel = this.platform.addRecordService(RECORDS);
+  readonly recordService: RecordModel = this.platform.addRecordService(
+    RECORDS_ADDRESS,
+  );
 
-  /** Starts a node; `wrapLog` puts a fault between it and the log. */
+  /** Starts a node; `wrapLog` can inject faults between it and the log. */
   async startNode(
     name: string,
     seed: number,
@@ -89,7 +91,7 @@
     const kernel = new Kernel<Services>();
     kernel.provide("clock", [], () => clock);
     kernel.provide("random", [], () => new SeededRandom(seed));
-    kernel.provide("logger", [], () => SILENT_LOGGER);
+    kernel.provide("logger", [], () => NOOP_LOGGER);
     kernel.provide("settings", [], () => createSettings(name));
     kernel.provide("log", [], () => wrapLog(clients.log, clock));
     kernel.provide("plainServices", [], () => clients.plainServices);
@@ -104,41 +106,41 @@
     return { name, calls, clock, stop: () => kernel.stop() };
   }
 
-  /** Begins a call; the result is filled in when the caller is answered. */
-  begin(
+  /** Starts a call; its result is set once the call completes. */
+  startCall(
     node: CallNode,
     key: string,
-    change: Partial<ServiceCall> = {},
-  ): { told?: Told } {
-    const answer: { told?: Told } = {};
-    const call = { ...createCall(key), ...change };
+    overrides: Partial<ServiceCall> = {},
+  ): { result?: CallResult } {
+    const pendingCall: { result?: CallResult } = {};
+    const call = { ...createCall(key), ...overrides };
     node.calls.execute(call, new AbortController().signal).then((reply) => {
-      answer.told = reply.match<Told>({
+      pendingCall.result = reply.match<CallResult>({
         Ok: ({ status, body }) => ({ status, body: body.toString() }),
         Err: ({ verdict, code }) => ({ verdict, code }),
       });
     });
-    return answer;
+    return pendingCall;
   }
 
-  /** Makes a call and lets its whole deadline pass. */
-  async call(
+  /** Makes a call and advances the clock past its deadline. */
+  async completeCall(
     node: CallNode,
     key: string,
-    change: Partial<ServiceCall> = {},
-  ): Promise<Told> {
-    const answer = this.begin(node, key, change);
+    overrides: Partial<ServiceCall> = {},
+  ): Promise<CallResult> {
+    const pendingCall = this.startCall(node, key, overrides);
     await this.clock.advance(CALL_DEADLINE_MS + 100);
-    return answer.told ?? {};
+    return pendingCall.result ?? {};
   }
 }
 
-/** Creates a write with a key. */
+/** Creates a write with an idempotency key. */
 export function createCall(key: string): ServiceCall {
   return {
     requestId: `request-of-${key}`,
     account: "north",
-    service: ServiceRule.parse({ name: "records", upstreams: RECORDS }),
+    service: ServiceRule.parse({ name: "records", upstreams: RECORDS_ADDRESS }),
     method: "POST",
     path: "/writes?source=test",
     headers: { "idempotency-key": key },
