--- a/packages/node/src/calls/call-dispatcher.ts
+++ b/packages/node/src/calls/call-dispatcher.ts
@@ -16,7 +16,7 @@
 
 /** Lets an upstream that supports idempotency keys detect repeats itself. */
 const IDEMPOTENCY_KEY_HEADER = "idempotency-key";
-/** How often a retry-safe call is tried at each upstream. */
+/** Limit of passes over all upstreams for a retry-safe call. */
 const MAX_RETRY_SAFE_PASSES = 2;
 
 /** Sends calls to upstreams. */
@@ -114,7 +114,10 @@
   "ran": 2,
 };
 
-/** Keeps the earlier refusal if the later one says less about execution. */
+/**
+ * Returns the refusal with the stronger evidence that the call ran: a later
+ * attempt that did not run does not undo an earlier one that may have.
+ */
 function combineRefusals(earlier: Refusal, later: Refusal): Refusal {
   return EXECUTION_CERTAINTY[later.verdict] >=
       EXECUTION_CERTAINTY[earlier.verdict]
--- a/packages/node/src/calls/call-executor.ts
+++ b/packages/node/src/calls/call-executor.ts
@@ -59,8 +59,8 @@
 const MAX_CONSECUTIVE_APPEND_FAILURES = 2;
 
 /**
- * Executes calls, and uses the log to detect repeats of calls that must run at
- * most once.
+ * Executes calls. A call that must run at most once is dispatched only after
+ * its intent has been read from the log as the first for its key.
  */
 export class CallExecutor implements Service {
   #clock: Clock;
@@ -176,14 +176,14 @@
   async #awaitFirstCall(
     keyedCall: KeyedCall,
   ): Promise<RememberedCall | undefined> {
-    const findFirstCall = () => this.#findFirstCall(keyedCall.keyHash);
+    const find = () => this.#findFirstCall(keyedCall.keyHash);
     const isRunning = () => {
-      const known = findFirstCall();
+      const known = find();
       return known?.bodyHash === keyedCall.bodyHash &&
         known.outcome === undefined;
     };
     await this.#waitUntil(() => !isRunning(), keyedCall.deadline);
-    return findFirstCall();
+    return find();
   }
 
   /**
--- a/packages/node/test/administration/administration.test.ts
+++ b/packages/node/test/administration/administration.test.ts
@@ -71,7 +71,7 @@
       expect(await call("GET", "/admin/configuration")).toEqual(before);
     });
 
-    it("answers a publish with an outdated basis with the version in force", async () => {
+    it("returns the version and text in force when the basis is outdated", async () => {
       const { body: { version } } = await call("GET", "/admin/configuration");
       const first = await publish(Number(version), RULES_TEXT);
       expect(first.status).toBe(200);
