--- a/packages/clients/test/peer-transport.test.ts
+++ b/packages/clients/test/peer-transport.test.ts
@@ -59,7 +59,7 @@
   });
 
   describe("limits", () => {
-    it("close a connection on an oversized message with a reason", async () => {
+    it("close on an oversized message and keep the reason", async () => {
       const client = await connect();
       const server = await accepted;
       client.send(new Uint8Array(MAX_PEER_MESSAGE_BYTES + 1));
--- a/packages/clients/test/verdicts.test.ts
+++ b/packages/clients/test/verdicts.test.ts
@@ -98,7 +98,7 @@
       expect(reply.isOk && reply.value.status).toBe(503);
     });
 
-    it("is may-have-run if the connection closes early", async () => {
+    it("is may-have-run if the connection closes with no response", async () => {
       respond = (response) => response.destroy();
       const reply = await callPlain();
       expect(reply.isErr && reply.error.verdict).toBe("may-have-run");
@@ -116,7 +116,7 @@
       [500, "may-have-run"],
       [504, "may-have-run"],
       [408, "may-have-run"],
-    ])("for an engine's status %d is %s", async (status, verdict) => {
+    ])("is, for an engine status of %d, %s", async (status, verdict) => {
       respond = (response) => response.writeHead(status).end("{}");
       const reply = await generate();
       expect(reply.isErr && reply.error.verdict).toBe(verdict);
