--- a/packages/node/src/groups/departures.ts
+++ b/packages/node/src/groups/departures.ts
@@ -119,7 +119,7 @@
   #findStart(host: string): number {
     const isDrained = this.#state.control.drainedHosts.has(host);
     const currentAt = isDrained
-      ? this.#state.currentTimes.before
+      ? this.#state.catchUpTimes.secondLast
       : this.#listReadAt;
     const now = this.#clock.now();
     return now - currentAt <= LEARNING_LIMIT_MS ? now : currentAt;
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -37,9 +37,9 @@
 import { Lookup } from "./serving/lookup.ts";
 import { Router } from "./serving/router.ts";
 import { Streams } from "./serving/streams.ts";
-import { Checkpoints } from "./state/checkpoints.ts";
+import { CheckpointWriter } from "./state/checkpoint-writer.ts";
 import { ControlState } from "./state/control-state.ts";
-import { Recovery } from "./state/recovery.ts";
+import { StateRecovery } from "./state/state-recovery.ts";
 
 /** Services that a test puts in place of the node's own. */
 export type Replacements = Partial<Services>;
@@ -175,12 +175,12 @@
   provide(
     "checkpoints",
     [...base, "state"],
-    (services) => new Checkpoints(services),
+    (services) => new CheckpointWriter(services),
   );
   provide(
     "recovery",
     [...base, "state", "peers"],
-    (services) => new Recovery(services),
+    (services) => new StateRecovery(services),
   );
   provide("hosts", [...base, "hostList"], (services) => new Hosts(services));
   provide(
--- a/packages/node/src/services.ts
+++ b/packages/node/src/services.ts
@@ -30,9 +30,9 @@
 import type { Lookup } from "./serving/lookup.ts";
 import type { Router } from "./serving/router.ts";
 import type { Streams } from "./serving/streams.ts";
-import type { Checkpoints } from "./state/checkpoints.ts";
+import type { CheckpointWriter } from "./state/checkpoint-writer.ts";
 import type { ControlState } from "./state/control-state.ts";
-import type { Recovery } from "./state/recovery.ts";
+import type { StateRecovery } from "./state/state-recovery.ts";
 import type { Lifecycle } from "./lifecycle.ts";
 
 /** Service types by name. */
@@ -53,8 +53,8 @@
   state: ControlState;
   peerTransport: PeerTransport;
   peers: Peers;
-  checkpoints: Checkpoints;
-  recovery: Recovery;
+  checkpoints: CheckpointWriter;
+  recovery: StateRecovery;
   hosts: Hosts;
   departures: Departures;
   evidence: Evidence;
--- a/packages/node/src/state/current-times.ts
+++ b/packages/node/src/state/catch-up-times.ts
@@ -7,11 +7,11 @@
 import type { Settings } from "@zinniahill/schema";
 
 /** Keeps the times of the last two reads that reached the end. */
-export class CurrentTimes {
+export class CatchUpTimes {
   #clock: Clock;
   #longestMs: number;
   #last = -Infinity;
-  #before = -Infinity;
+  #secondLast = -Infinity;
 
   constructor(clock: Clock, { platform }: Settings) {
     this.#clock = clock;
@@ -22,13 +22,13 @@
    * Notes a read that reached the end. A reply that a paused process receives
    * late shows the stream as of the longest duration of a read at most.
    */
-  note(sentAt: number): void {
-    this.#before = this.#last;
+  record(sentAt: number): void {
+    this.#secondLast = this.#last;
     this.#last = Math.min(this.#clock.now(), sentAt + this.#longestMs);
   }
 
   /** The time of the read before the last one; -Infinity without one. */
-  get before(): number {
-    return this.#before;
+  get secondLast(): number {
+    return this.#secondLast;
   }
 }
--- a/packages/node/src/state/checkpoint-search.ts
+++ b/packages/node/src/state/checkpoint-search.ts
@@ -9,10 +9,10 @@
 import { Result } from "true-myth";
 
 /** Entries that one read of the log asks for. */
-export const PAGE_ENTRIES = 500;
+export const MAX_PAGE_ENTRIES = 500;
 
 /** What the retained part of the stream offers to a reader. */
-export interface CheckpointSearch {
+export interface CheckpointSearchResult {
   /** Oldest retained offset. */
   readonly first: number;
   readonly checkpoint: ControlSnapshot | undefined;
@@ -22,10 +22,10 @@
  * Searches the control stream from its end, because the newest checkpoint is
  * near the end and the retained part may be long.
  */
-export async function searchCheckpoint(
+export async function findNewestCheckpoint(
   log: Log,
   signal: AbortSignal,
-): Promise<Result<CheckpointSearch, Fault>> {
+): Promise<Result<CheckpointSearchResult, Fault>> {
   const read = (from: number, max: number) =>
     log.read("control", { from, max, waitMs: 0 }, signal);
   const extent = await read(1, 1);
@@ -34,7 +34,7 @@
   }
   let { first, next: end } = extent.value;
   while (end > first) {
-    const from = Math.max(first, end - PAGE_ENTRIES);
+    const from = Math.max(first, end - MAX_PAGE_ENTRIES);
     const page = await read(from, end - from);
     if (page.isErr) {
       return Result.err(page.error);
--- a/packages/node/src/state/checkpoints.ts
+++ b/packages/node/src/state/checkpoint-writer.ts
@@ -19,7 +19,7 @@
 const CHECK_INTERVAL_MS = 1000;
 
 /** Appends checkpoints when it is this node's turn. */
-export class Checkpoints implements Service {
+export class CheckpointWriter implements Service {
   #clock: Clock;
   #logger: Logger;
   #random: Random;
--- a/packages/node/src/state/control-state.ts
+++ b/packages/node/src/state/control-state.ts
@@ -24,10 +24,10 @@
 } from "@zinniahill/schema";
 import type { Result } from "true-myth";
 import type { NodeKernel } from "../services.ts";
-import { PAGE_ENTRIES, searchCheckpoint } from "./checkpoint-search.ts";
-import { CurrentTimes } from "./current-times.ts";
-import { Proposals } from "./proposals.ts";
-import { OBSTACLES, type Reading } from "./reading.ts";
+import { findNewestCheckpoint, MAX_PAGE_ENTRIES } from "./checkpoint-search.ts";
+import { CatchUpTimes } from "./catch-up-times.ts";
+import { Proposer } from "./proposer.ts";
+import { OBSTACLES, type ReadStatus } from "./read-status.ts";
 
 const RETRY_PAUSE_MS = 200;
 /** A search reads all that is retained, so it is not repeated at once. */
@@ -47,16 +47,16 @@
   /** Notified whenever the state or the log's health changes. */
   readonly changed = new Condition();
   /** When reads reached the end of the stream. */
-  readonly currentTimes: CurrentTimes;
+  readonly catchUpTimes: CatchUpTimes;
   #clock: Clock;
   #logger: Logger;
   #log: Log;
   #settings: Settings;
   #tasks: TaskGroup;
   #reducer = new ControlReducer();
-  #proposals: Proposals;
+  #proposals: Proposer;
   #rules: Rules | undefined;
-  #reading: Reading = "starting";
+  #reading: ReadStatus = "starting";
   #isLogReachable = false;
   #isCaughtUp = false;
   #mustSearch = true;
@@ -70,8 +70,8 @@
     this.#log = kernel.find("log");
     this.#settings = kernel.find("settings");
     this.#tasks = new TaskGroup(this.#clock, this.#logger);
-    this.currentTimes = new CurrentTimes(this.#clock, this.#settings);
-    this.#proposals = new Proposals(
+    this.catchUpTimes = new CatchUpTimes(this.#clock, this.#settings);
+    this.#proposals = new Proposer(
       this.#clock,
       this.#log,
       this.#settings.platform["log-timeout"],
@@ -100,7 +100,7 @@
   }
 
   /** Whether the log cannot bring this node's state up to date at present. */
-  get needsPeers(): boolean {
+  get needsPeerSnapshot(): boolean {
     return this.#reading === "unreachable" || this.#reading === "expired";
   }
 
@@ -191,7 +191,7 @@
       const sentAt = this.#clock.now();
       const page = await this.#log.read("control", {
         from: this.#reducer.asOf + 1,
-        max: PAGE_ENTRIES,
+        max: MAX_PAGE_ENTRIES,
         waitMs: this.#settings.platform["log-poll"],
       }, signal);
       this.#setReachable(page.isOk);
@@ -199,14 +199,14 @@
         return;
       }
       if (this.isCaughtUp) {
-        this.currentTimes.note(sentAt);
+        this.catchUpTimes.record(sentAt);
       }
     }
   }
 
   /** Adopts the newest checkpoint; fails when no entry can follow the state. */
   async #startFromCheckpoint(signal: AbortSignal): Promise<boolean> {
-    const search = await searchCheckpoint(this.#log, signal);
+    const search = await findNewestCheckpoint(this.#log, signal);
     this.#setReachable(search.isOk);
     if (search.isErr) {
       return false;
@@ -268,7 +268,7 @@
       | Effect<typeof record.kind>
       | undefined;
     effect?.(record, offset, decision);
-    this.#proposals.settle(record.id, decision);
+    this.#proposals.resolve(record.id, decision);
   }
 
   /** What this node does once the reducer has decided a record. */
@@ -291,7 +291,7 @@
     const accepted = isHeld || this.#reducer.findDecision(id);
     if (accepted !== undefined) {
       const reason = "refused; the reason is not part of a snapshot";
-      this.#proposals.settle(
+      this.#proposals.resolve(
         id,
         accepted ? { accepted } : { accepted, reason },
       );
@@ -337,7 +337,7 @@
     }
   }
 
-  #setReading(reading: Reading): void {
+  #setReading(reading: ReadStatus): void {
     if (this.#reading !== reading) {
       this.#reading = reading;
       this.#logger.info("control_reading", { reading });
--- a/packages/node/src/state/proposals.ts
+++ b/packages/node/src/state/proposer.ts
@@ -16,7 +16,7 @@
 type Appended = { readonly reply: Result<number, Fault> };
 
 /** Appends records and matches them with what the reader decides. */
-export class Proposals {
+export class Proposer {
   #clock: Clock;
   #log: Log;
   #timeoutMs: number;
@@ -34,7 +34,7 @@
   }
 
   /** Hands a decision to the task that waits for it, if there is one. */
-  settle(id: string, decision: Decision): void {
+  resolve(id: string, decision: Decision): void {
     this.#pending.get(id)?.(decision);
     this.#pending.delete(id);
   }
--- a/packages/node/src/state/reading.ts
+++ b/packages/node/src/state/read-status.ts
@@ -5,7 +5,7 @@
  */
 
 /** What the reader of the stream last met. */
-export type Reading =
+export type ReadStatus =
   /** No read has ended yet. */
   | "starting"
   /** Entries are applied as they come. */
@@ -18,7 +18,7 @@
   | "truncated";
 
 /** What an operator is told when no configuration is known. */
-export const OBSTACLES: { readonly [Kind in Reading]: string } = {
+export const OBSTACLES: { readonly [Kind in ReadStatus]: string } = {
   starting: "the log has not been read yet",
   following: "no configuration has been published",
   unreachable: "the log cannot be read and no peer has given its state",
--- a/packages/node/src/state/recovery.ts
+++ b/packages/node/src/state/state-recovery.ts
@@ -21,7 +21,7 @@
 const REPLY_DEADLINE_MS = 2000;
 
 /** Asks peers for their state, and gives this node's own. */
-export class Recovery implements Service {
+export class StateRecovery implements Service {
   #clock: Clock;
   #state: ControlState;
   #peers: Peers;
@@ -63,7 +63,7 @@
 
   /** Asks every peer that is ahead and adopts the latest of their states. */
   async #recover(signal: AbortSignal): Promise<void> {
-    if (!this.#state.needsPeers || !this.#peers.hasSettled) {
+    if (!this.#state.needsPeerSnapshot || !this.#peers.hasSettled) {
       return;
     }
     const asked = this.#peers.list()
--- a/packages/node/test/peers/peers.test.ts
+++ b/packages/node/test/peers/peers.test.ts
@@ -135,7 +135,7 @@
       own!.losesSent = true;
       await cluster.clock.advance(3000);
       far!.losesSent = true;
-      await cluster.measure(5000, () => far!.isClosed);
+      await cluster.advanceUntil(5000, () => far!.isClosed);
       expect(own!.isClosed).toBe(false);
       await cluster.clock.advance(2000);
       expect(cluster.nodes.map(listNames)).toEqual([["n1"], ["n0"]]);
--- a/packages/node/test/state/checkpoints.test.ts
+++ b/packages/node/test/state/checkpoints.test.ts
@@ -11,8 +11,8 @@
 import {
   Cluster,
   createConfiguration,
-  createDrain,
-  createState,
+  createControlState,
+  createHostDrain,
 } from "./cluster.ts";
 
 const SEED = 20261204;
@@ -55,7 +55,7 @@
         { kind: "lease", id, node: "n2", scope: SCOPE, fence: 0, basis: 0 },
       ]);
       for (let entry = 1; entry <= 20; entry++) {
-        log.append("control", [createDrain(`d${entry}`, true)]);
+        log.append("control", [createHostDrain(`d${entry}`, true)]);
       }
       await cluster.clock.advance(2500);
       const writers = log.entries("control")
@@ -72,10 +72,10 @@
       const { log } = cluster.platform;
       log.append("control", [createConfiguration("c", 0, "one")]);
       for (let entry = 1; entry <= 300; entry++) {
-        log.append("control", [createDrain(`d${entry}`, entry % 2 === 0)]);
+        log.append("control", [createHostDrain(`d${entry}`, entry % 2 === 0)]);
         await cluster.clock.advance(2000);
       }
-      const late = createState(
+      const late = createControlState(
         cluster.clock,
         cluster.platform.createClients("late").log,
       );
@@ -98,7 +98,7 @@
     });
 
     function start(name: string) {
-      return createState(clock, platform.createClients(name).log);
+      return createControlState(clock, platform.createClients(name).log);
     }
 
     it("ignores a checkpoint once it holds a newer version", async () => {
@@ -120,7 +120,7 @@
       platform.log.append("control", [createConfiguration("c", 0, "one")]);
       await clock.advance(100);
       const old = state.control.createSnapshot();
-      platform.log.append("control", [createDrain("x", true)]);
+      platform.log.append("control", [createHostDrain("x", true)]);
       await clock.advance(100);
       expect(state.adopt(old, "peer")).toBe(false);
       expect(state.control.drainedHosts.size).toBe(1);
@@ -136,7 +136,7 @@
       await clock.advance(100);
       const state = follower.control.createSnapshot();
       platform.log.append("control", [createCheckpoint("k", state)]);
-      platform.log.append("control", [createDrain("x", true)]);
+      platform.log.append("control", [createHostDrain("x", true)]);
       platform.log.expire("control", 3);
       platform.network.setModeOfEnd("b", "pass");
       await clock.advance(1000);
@@ -148,7 +148,7 @@
     it("serves nothing and says so when it finds no checkpoint", async () => {
       platform.log.append("control", [createConfiguration("c", 0, "one")]);
       platform.log.append("control", [createConfiguration("d", 1, "two")]);
-      platform.log.append("control", [createDrain("x", true)]);
+      platform.log.append("control", [createHostDrain("x", true)]);
       platform.log.expire("control", 2);
       const state = start("a");
       await clock.advance(10_000);
@@ -162,7 +162,7 @@
 
     it("does not start from a checkpoint that leaves a gap", () => {
       const reducer = new ControlReducer();
-      reducer.apply(1, createDrain("x", true));
+      reducer.apply(1, createHostDrain("x", true));
       const record = createCheckpoint("k", reducer.createSnapshot());
       const entries = [{ offset: 5, records: [record] }];
       expect(findCheckpoint(entries, 2)?.asOf).toBe(1);
@@ -171,7 +171,7 @@
 
     it("does not start from a checkpoint of the future", () => {
       const reducer = new ControlReducer();
-      reducer.apply(9, createDrain("x", true));
+      reducer.apply(9, createHostDrain("x", true));
       const record = createCheckpoint("k", reducer.createSnapshot());
       const entries = [{ offset: 9, records: [record] }];
       expect(findCheckpoint(entries, 1)).toBeUndefined();
@@ -186,7 +186,7 @@
       const group = `g${a}`;
       const records = [
         createConfiguration(`c${b}-${c}`, c * 3, `m${a}`),
-        createDrain(`d${b}-${c}`, a % 2 === 0),
+        createHostDrain(`d${b}-${c}`, a % 2 === 0),
         { kind: "lease", ...header, fence: 0, basis: c * 2 },
         { kind: "lease", ...header, fence: 1, basis: c },
         { kind: "group-loading", ...header, fence: 1, group },
@@ -233,7 +233,7 @@
             const platform = new MemoryPlatform(clock);
             const { log } = platform;
             const start = (name: string) =>
-              createState(clock, platform.createClients(name).log);
+              createControlState(clock, platform.createClients(name).log);
             const first = start("first");
             const readers = [first];
             let covered = 0;
--- a/packages/node/test/state/cluster.ts
+++ b/packages/node/test/state/cluster.ts
@@ -42,7 +42,7 @@
 }
 
 /** Creates an operator's command about a host. */
-export function createDrain(id: string, drained: boolean): ControlRecord {
+export function createHostDrain(id: string, drained: boolean): ControlRecord {
   const author = "operator";
   return {
     kind: "host-drained",
@@ -60,7 +60,7 @@
 }
 
 /** What the settings of a node in a test may change. */
-export interface SettingsChange {
+export interface SettingsOverrides {
   readonly name?: string;
   readonly dataCentre?: string;
   readonly peers?: readonly string[];
@@ -71,7 +71,7 @@
 /** Creates the settings of the node at an index. */
 export function createSettings(
   index: number,
-  change: SettingsChange = {},
+  change: SettingsOverrides = {},
 ): Settings {
   const { peers = [], timing = [], limits = [] } = change;
   const text = [
@@ -119,7 +119,7 @@
 }
 
 /** Creates the `state` service alone. */
-export function createState(
+export function createControlState(
   clock: ManualClock,
   log: Log,
   logger: Logger = new RecordingLogger(),
@@ -146,12 +146,12 @@
   readonly nodes: NodeKernel[] = [];
   readonly transports = new MemoryTransports(this.platform.network);
   #addresses: string[];
-  #changes: (index: number) => SettingsChange;
+  #changes: (index: number) => SettingsOverrides;
   #starts = 0;
 
   constructor(
     size: number,
-    change: (index: number) => SettingsChange = () => ({}),
+    change: (index: number) => SettingsOverrides = () => ({}),
   ) {
     this.#addresses = Array.from(
       { length: size },
@@ -205,7 +205,7 @@
   }
 
   /** Versions of the configuration that the nodes have in force. */
-  get versions(): number[] {
+  get activeVersions(): number[] {
     return this.nodes.map((node) => {
       const { rules, control } = node.find("state");
       return rules === undefined ? 0 : control.configuration.version;
@@ -213,7 +213,7 @@
   }
 
   /** Advances in small steps until a condition holds; returns the time taken. */
-  async measure(limitMs: number, isMet: () => boolean): Promise<number> {
+  async advanceUntil(limitMs: number, isMet: () => boolean): Promise<number> {
     const startedAt = this.clock.now();
     while (!isMet() && this.clock.now() - startedAt < limitMs) {
       await this.clock.advance(10);
--- a/packages/node/test/state/control-state.test.ts
+++ b/packages/node/test/state/control-state.test.ts
@@ -4,8 +4,8 @@
 import type { ControlState } from "../../src/state/control-state.ts";
 import {
   createConfiguration,
-  createDrain,
-  createState,
+  createControlState,
+  createHostDrain,
   RecordingLogger,
 } from "./cluster.ts";
 
@@ -25,7 +25,7 @@
   });
 
   function startState(name: string): ControlState {
-    return createState(clock, platform.createClients(name).log, logger);
+    return createControlState(clock, platform.createClients(name).log, logger);
   }
 
   /** Resolves a proposal by moving the clock. */
@@ -43,7 +43,7 @@
   describe("reading", () => {
     it("applies more entries than one page holds", async () => {
       for (let entry = 1; entry <= 1200; entry++) {
-        const records = [createDrain(`${entry}`, entry % 2 === 0)];
+        const records = [createHostDrain(`${entry}`, entry % 2 === 0)];
         platform.log.append("control", records);
       }
       const state = startState("a");
@@ -134,7 +134,7 @@
       await clock.advance(100);
       platform.network.setMode("a", LOG_END, "refuse");
       const refused = await settle(
-        state.propose(createDrain("x", true), signal),
+        state.propose(createHostDrain("x", true), signal),
       );
       expect(refused.isErr && refused.error.verdict).toBe("not-run");
       expect(platform.log.entries("control").length).toBe(0);
@@ -145,7 +145,7 @@
       await clock.advance(100);
       platform.network.setMode("a", LOG_END, "reply-lost");
       const unknown = await settle(
-        state.propose(createDrain("x", true), signal),
+        state.propose(createHostDrain("x", true), signal),
       );
       expect(unknown.isErr && unknown.error.verdict).toBe("may-have-run");
       expect(platform.log.entries("control").length).toBeGreaterThan(0);
--- a/packages/node/test/state/planned-stop.test.ts
+++ b/packages/node/test/state/planned-stop.test.ts
@@ -163,7 +163,7 @@
         { ...createConfiguration("d", 1, "one"), text },
       ]);
       const evidence = node.find("evidence");
-      await cluster.measure(
+      await cluster.advanceUntil(
         60_000,
         () => evidence.listServable("one").length === 1,
       );
--- a/packages/node/test/state/propagation.test.ts
+++ b/packages/node/test/state/propagation.test.ts
@@ -18,7 +18,7 @@
           createConfiguration("c", 0, "one"),
         ]);
         await cluster.clock.advance(5000);
-        expect(new Set(cluster.versions)).toEqual(new Set([1]));
+        expect(new Set(cluster.activeVersions)).toEqual(new Set([1]));
       }
 
       /** Publishes at node 0 and measures until every node has the version. */
@@ -30,9 +30,10 @@
           createConfiguration(id, basis.version, "two"),
           signal,
         );
-        return await cluster.measure(
+        return await cluster.advanceUntil(
           GIVE_UP_MS,
-          () => cluster.versions.every((version) => version > basis.version),
+          () =>
+            cluster.activeVersions.every((version) => version > basis.version),
         );
       }
 
--- a/packages/node/test/state/recovery.test.ts
+++ b/packages/node/test/state/recovery.test.ts
@@ -22,7 +22,7 @@
       await cluster.stopNode(0);
       await cluster.startNode(0);
       await cluster.clock.advance(5000);
-      expect(cluster.versions).toEqual([2, 2, 2, 2]);
+      expect(cluster.activeVersions).toEqual([2, 2, 2, 2]);
     });
 
     describe("when peers hold different versions", () => {
@@ -41,7 +41,7 @@
         await cluster.clock.advance(5000);
         log.append("control", [createConfiguration("e", 2, "three")]);
         await cluster.clock.advance(1000);
-        expect(cluster.versions).toEqual([3, 2, 2, 3]);
+        expect(cluster.activeVersions).toEqual([3, 2, 2, 3]);
         log.faults.isDown = true;
         await cluster.stopNode(0);
         for (const stale of [1, 2]) {
@@ -54,8 +54,8 @@
       /** Collects every version that node 0 puts in force. */
       async function observeVersions(): Promise<number[]> {
         const seen = new Set<number>();
-        await cluster.measure(10_000, () => {
-          seen.add(cluster.versions[0]!);
+        await cluster.advanceUntil(10_000, () => {
+          seen.add(cluster.activeVersions[0]!);
           return false;
         });
         return [...seen];
@@ -65,7 +65,7 @@
         await leaveNodesBehind();
         await cluster.startNode(0);
         expect(await observeVersions()).toEqual([0, 3]);
-        expect(cluster.versions).toEqual([3, 3, 3, 3]);
+        expect(cluster.activeVersions).toEqual([3, 3, 3, 3]);
       });
 
       it("waits for a peer whose connection takes longer", async () => {
@@ -93,7 +93,7 @@
       log.faults.isDown = false;
       log.append("control", [createConfiguration("e", 2, "three")]);
       await cluster.clock.advance(2000);
-      expect(cluster.versions).toEqual([3, 3, 3, 3]);
+      expect(cluster.activeVersions).toEqual([3, 3, 3, 3]);
       const snapshots = cluster.nodes.map((node) =>
         node.find("state").control.createSnapshot()
       );
@@ -120,7 +120,7 @@
       await cluster.clock.advance(5000);
       log.append("control", [createConfiguration("e", 2, "three")]);
       await cluster.clock.advance(7000);
-      expect(cluster.versions).toEqual([3, 3, 3, 3]);
+      expect(cluster.activeVersions).toEqual([3, 3, 3, 3]);
     });
   });
 
@@ -133,7 +133,7 @@
       await cluster.clock.advance(5000);
       log.append("control", [createConfiguration("e", 2, "three")]);
       await cluster.clock.advance(1000);
-      expect(cluster.versions).toEqual([3, 3, 3, 3]);
+      expect(cluster.activeVersions).toEqual([3, 3, 3, 3]);
     });
   });
 });
