--- a/packages/relay/src/peers/instance-updates.ts
+++ b/packages/relay/src/peers/instance-updates.ts
@@ -16,7 +16,7 @@
 import type { Mesh } from "./mesh.ts";
 
 const FEED = "instances";
-/** How often peers are told the holder's offset if nothing has changed. */
+/** How often the holder sends its offset to peers if nothing has changed. */
 const IDLE_INTERVAL_MS = 400;
 
 /** Sends updates while this node holds placement, and applies the holder's. */
--- a/packages/relay/src/peers/mesh.ts
+++ b/packages/relay/src/peers/mesh.ts
@@ -54,14 +54,14 @@
 }
 
 const MIN_HEARTBEAT_INTERVAL_MS = 150;
-/** Keeps the rate of all heartbeats linear, not quadratic, in the nodes. */
+/** Keeps the total rate linear, not quadratic, in the number of nodes. */
 const HEARTBEAT_INTERVAL_MS_PER_PEER = 15;
 /** Heartbeat intervals without a message after which a connection is closed. */
 const MAX_MISSED_HEARTBEATS = 6;
 const CONNECT_TIMEOUT_MS = 500;
 const RECONNECT_DELAY_MS = 200;
 const MAX_RECONNECT_DELAY_MS = 2000;
-/** A peer that does not read is disconnected rather than waited for. */
+/** A peer that does not read is disconnected, so that no sender waits. */
 const MAX_QUEUED_BYTES = 4 * 1024 * 1024;
 const ANNOUNCE_RETRY_DELAY_MS = 500;
 
--- a/packages/relay/src/routing/dispatcher.ts
+++ b/packages/relay/src/routing/dispatcher.ts
@@ -44,10 +44,11 @@
 const RESERVED_SLOT_SHARE = 0.12;
 /** A broken stream may resume at a group that accepts no new requests. */
 const RESUMED_LOAD_FACTOR = 2;
-/** A caller that returns after its target latency is late in any case. */
+/** Used if a retry can meet the target latency. */
 const EARLY_RETRY_MS = 250;
+/** Used if a retry would exceed the target latency in any case. */
 const LATE_RETRY_MS = 1500;
-/** Keeps callers that were refused together from returning together. */
+/** Keeps callers that were refused together from retrying together. */
 const RETRY_JITTER = 0.3;
 /** How long an instance that refused a connection gets no requests. */
 const UNREACHABLE_MS = 1000;
@@ -156,7 +157,7 @@
     );
   }
 
-  /** A short delay if that can meet the target, else one beyond a load peak. */
+  /** A short delay if it can meet the target, else one that outlasts a peak. */
   #drawRetryAfterMs({ targetMs }: SelectionCriteria): number {
     const meanMs = targetMs > 2 * EARLY_RETRY_MS
       ? EARLY_RETRY_MS
@@ -203,7 +204,7 @@
 }
 
 /**
- * The number of requests in progress below which a group is given another one.
+ * The number of requests in progress below which a group receives another one.
  * Urgent requests may queue for slots that are released in time; the least
  * urgent ones leave some slots free.
  */
--- a/packages/relay/test/feeds/feeds.test.ts
+++ b/packages/relay/test/feeds/feeds.test.ts
@@ -67,12 +67,12 @@
   const clock = new ManualClock();
   const store = new SwitchableStore(clock);
   store.isUnavailable = isUnavailable;
-  const silent = { error() {}, warn() {}, info() {}, debug() {} };
+  const silentLogger = { error() {}, warn() {}, info() {}, debug() {} };
   const kernel: RelayKernel = new Kernel<RelayServices>();
   kernel
     .provide("clock", [], () => clock)
     .provide("random", [], () => new SeededRandom(1))
-    .provide("logger", [], () => silent)
+    .provide("logger", [], () => silentLogger)
     .provide("topics", [], () => store);
   await kernel.start();
   const feeds = new Feeds(kernel);
@@ -172,7 +172,7 @@
   });
 
   describe("time since the last outage", () => {
-    it("includes a failed read, which lets no entry expire", async () => {
+    it("continues through a short failure, in which no entry can expire", async () => {
       const { clock, store, feeds } = await startFeeds();
       await clock.advance(5000);
       store.isUnavailable = true;
@@ -183,7 +183,7 @@
       expect(feeds.sinceOutageMs("instances")).toBeGreaterThan(6000);
     });
 
-    it("restarts after reads that failed for longer", async () => {
+    it("restarts after a longer failure", async () => {
       const { clock, store, feeds } = await startFeeds();
       await clock.advance(5000);
       store.isUnavailable = true;
--- a/packages/relay/test/peers/feed-exchange.test.ts
+++ b/packages/relay/test/peers/feed-exchange.test.ts
@@ -34,11 +34,11 @@
     },
   };
   const table = new RecordTable();
-  const silent = { error() {}, warn() {}, info() {}, debug() {} };
+  const silentLogger = { error() {}, warn() {}, info() {}, debug() {} };
   const kernel: RelayKernel = new Kernel<RelayServices>();
   kernel
     .provide("clock", [], () => clock)
-    .provide("logger", [], () => silent)
+    .provide("logger", [], () => silentLogger)
     .provide("feeds", [], () => feeds as never);
   await kernel.start();
   return { clock, feeds, table, exchange: new FeedExchange(kernel) };
@@ -104,7 +104,7 @@
     });
   });
 
-  describe("a peer that has read the same", () => {
+  describe("a peer that has read as much", () => {
     it("confirms that this node is up to date", async () => {
       const { feeds, exchange } = await create();
       exchange.listFetches("n-2", createHeartbeat(0));
--- a/packages/relay/test/peers/idle-timeout.test.ts
+++ b/packages/relay/test/peers/idle-timeout.test.ts
@@ -13,7 +13,7 @@
 
 describe("IdleTimeout", () => {
   describe("a silent peer", () => {
-    it("causes one call if no message arrives, so that a dead peer is dropped", async () => {
+    it("causes one callback, so that its connection can be closed", async () => {
       const { clock, timeouts } = start();
       await clock.advance(899);
       expect(timeouts.count).toBe(0);
@@ -33,7 +33,7 @@
   });
 
   describe("an ended connection", () => {
-    it("causes no call after its end", async () => {
+    it("causes no callback", async () => {
       const { clock, timeouts, idleTimeout } = start();
       idleTimeout.cancel();
       await clock.advance(2000);
--- a/packages/relay/test/peers/peer-loads.test.ts
+++ b/packages/relay/test/peers/peer-loads.test.ts
@@ -18,7 +18,7 @@
       expect(loads.count("i-1")).toBe(0);
     });
 
-    it("of a lost peer are removed, so that they do not count for ever", () => {
+    it("of a disconnected peer are removed, so that they stop counting", () => {
       const loads = new PeerLoads();
       loads.update("n-2", [["i-1", 2, 10]], 1000);
       loads.remove("n-2");
@@ -36,7 +36,7 @@
   });
 
   describe("events of an instance", () => {
-    it("are known by the last one of any peer, by this node's clock", () => {
+    it("are dated by the latest one at any peer, by this node's clock", () => {
       const loads = new PeerLoads();
       loads.update("n-2", [["i-1", 1, 400]], 1000);
       loads.update("n-3", [["i-1", 1, 100]], 900);
--- a/packages/relay/test/routing/load-balancing.test.ts
+++ b/packages/relay/test/routing/load-balancing.test.ts
@@ -36,7 +36,7 @@
   });
 
   describe("with unreported requests of other nodes", () => {
-    it("selects each upstream in proportion to its distance to the common level", () => {
+    it("selects each upstream in proportion to its distance below the common level", () => {
       // 9 unreported requests and this one fill loads of 2 and 6 up to 9.
       const shares = measureShares([2, 6, 20], 9);
       expect(shares[0]).toBeCloseTo(0.7, 1);
@@ -56,7 +56,7 @@
       expect(measureShares([8, 9], 0, 8)).toEqual([0, 0]);
     });
 
-    it("assigns the last free slots to that many requests of all nodes", () => {
+    it("accepts only as many requests over all nodes as slots are free", () => {
       // 9 unreported requests and this one compete for 4 slots of the first.
       const shares = measureShares([4, 8, 9], 9, 8);
       expect(shares[0]).toBeCloseTo(0.4, 1);
--- a/packages/relay/test/routing/many-nodes.test.ts
+++ b/packages/relay/test/routing/many-nodes.test.ts
@@ -14,7 +14,7 @@
   name: "engines",
   engine: { ...ENGINE, slots: SLOTS },
 } as ServiceProfile;
-/** Heartbeat intervals, as in the mesh. */
+/** Same values as in `Mesh`. */
 const HEARTBEAT_INTERVAL_MS_PER_PEER = 15;
 const MIN_HEARTBEAT_INTERVAL_MS = 150;
 const REQUEST_MS = 1200;
@@ -33,13 +33,13 @@
   readonly groups: number;
 }
 
-/** Requests in progress, as the engines see them. */
+/** Requests in progress, counted at the engines. */
 interface LoadStatistics {
-  /** The maximum of any group. */
+  /** The maximum at any group. */
   readonly maxPerGroup: number;
-  /** The 95th percentile of requests that a new one found at its group. */
+  /** The 95th percentile of the requests at its group when one is sent. */
   readonly foundP95: number;
-  /** The mean for each slot. */
+  /** The mean number per slot. */
   readonly perSlot: number;
 }
 
@@ -197,11 +197,10 @@
     { nodes: 32, groups: 13 },
     { nodes: 100, groups: 40 },
   ])("$nodes nodes in front of $groups groups", (deployment) => {
-    // Guards against a cause of the incident SHORT: all nodes sent their
-    // requests to the group with the lowest reported count, and its first
-    // tokens were late.
+    // Guards against a cause of late first tokens: all nodes sent their requests
+    // to the group with the lowest reported count and overloaded it.
     it.each(SEEDS)(
-      "exceed the slots of no group while half of all slots are free (seed %i)",
+      "keep every group within its slots while half of all slots are free (seed %i)",
       async (seed) => {
         const { maxPerGroup } = await simulate(deployment, seed, 0.5);
         expect(maxPerGroup).toBeLessThanOrEqual(SLOTS);
@@ -210,11 +209,11 @@
   });
 
   describe("with more load than slots", () => {
-    // Guards against a cause of the incident SHORT: every node sent the
+    // Guards against another cause of late first tokens: every node sent the
     // requests that it could not assign elsewhere to the only group that seemed
-    // to have room.
+    // to have free slots.
     it.each(SEEDS)(
-      "let 95 in 100 requests get a slot within the target, and leave none idle (seed %i)",
+      "give 95 in 100 requests a slot within the target, and keep the slots in use (seed %i)",
       async (seed) => {
         const deployment = { nodes: 32, groups: 8 };
         const { foundP95, perSlot } = await simulate(deployment, seed, 1.5);
--- a/packages/relay/test/routing/outstanding-requests.test.ts
+++ b/packages/relay/test/routing/outstanding-requests.test.ts
@@ -6,7 +6,7 @@
 const GROUP = { name: "large~7", epoch: 7 };
 const LEAD = "i-1";
 
-/** Creates the service with groups and peers that only count calls. */
+/** Creates the service with fakes that count suspicions and checks. */
 async function create() {
   const clock = new ManualClock();
   const env = {
@@ -36,11 +36,11 @@
       env.checks++;
     },
   };
-  const silent = { error() {}, warn() {}, info() {}, debug() {} };
+  const silentLogger = { error() {}, warn() {}, info() {}, debug() {} };
   const kernel: RelayKernel = new Kernel<RelayServices>();
   kernel
     .provide("clock", [], () => clock)
-    .provide("logger", [], () => silent)
+    .provide("logger", [], () => silentLogger)
     .provide("groups", [], () => groups as never)
     .provide("mesh", [], () => mesh as never)
     .provide("placement", [], () => placement as never);
@@ -77,7 +77,7 @@
       expect(stalled).toEqual([0, 1]);
     });
 
-    it("are evidence even if events reach another node", async () => {
+    it("reveal a stall even if events reach another node", async () => {
       const { env, outstanding } = await start();
       outstanding.begin(LEAD, GROUP, true).recordEvent();
       await env.clock.advance(300);
@@ -86,7 +86,7 @@
       expect(env.suspicions).toBe(1);
     });
 
-    it("count as progress of the group for each other", async () => {
+    it("reveal no stall while one of them receives events", async () => {
       const { env, outstanding } = await start();
       const [first, second] = [1, 2].map(() =>
         outstanding.begin(LEAD, GROUP, true)
@@ -101,7 +101,9 @@
   });
 
   describe("requests without an event", () => {
-    it("may wait behind long prompts, which half of all alarms took for a stall", async () => {
+    // Guards against false suspicions: half of all reported stalls were requests
+    // that waited behind long prompts.
+    it("reveal a stall only after 0.6 s, as they may wait behind long prompts", async () => {
       const { env, outstanding } = await start();
       [1, 2, 3].forEach(() => outstanding.begin(LEAD, GROUP, true));
       await env.clock.advance(500);
@@ -110,7 +112,7 @@
       expect(env.suspicions).toBe(1);
     });
 
-    it("are no evidence while events reach another node", async () => {
+    it("reveal no stall while events reach another node", async () => {
       const { env, outstanding } = await start();
       outstanding.begin(LEAD, GROUP, true);
       for (let round = 0; round < 5; round++) {
@@ -122,7 +124,7 @@
       expect(env.suspicions).toBe(1);
     });
 
-    it("are evidence sooner if another node suspects the group", async () => {
+    it("reveal a stall sooner if another node suspects the group", async () => {
       const { env, outstanding } = await start();
       outstanding.begin(LEAD, GROUP, true);
       env.isSuspectedByPeer = true;
@@ -131,8 +133,8 @@
     });
   });
 
-  describe("responses that are no streams", () => {
-    it("are no evidence before they end", async () => {
+  describe("responses that are not streams", () => {
+    it("reveal no stall, as they arrive in one piece", async () => {
       const { env, outstanding } = await start();
       outstanding.begin(LEAD, GROUP, false);
       await env.clock.advance(5000);
--- a/packages/relay/test/routing/request-durations.test.ts
+++ b/packages/relay/test/routing/request-durations.test.ts
@@ -17,7 +17,7 @@
       expect(durations.meanMs(["i-1", "i-2"])).toBeCloseTo(250);
     });
 
-    it("follows a change, so that a slow start does not count for ever", async () => {
+    it("follows a change, so that slow requests at the start stop counting", async () => {
       const clock = new ManualClock();
       const durations = new RequestDurations(clock);
       durations.record("i-1", 5000);
@@ -28,7 +28,7 @@
   });
 
   describe("instances without requests", () => {
-    it("are removed, so that ids of ended instances do not fill the memory", async () => {
+    it("are removed, so that memory does not grow with ended instances", async () => {
       const clock = new ManualClock();
       const durations = new RequestDurations(clock);
       durations.record("i-1", 300);
