--- a/packages/node/src/state/catch-up-times.ts
+++ b/packages/node/src/state/catch-up-times.ts
@@ -1,33 +1,34 @@
 /**
- * When reads of the control stream reached its end.
+ * Times at which reads of the control stream reached its end.
  *
  * @module
  */
 import type { Clock } from "@zinniahill/kernel";
 import type { Settings } from "@zinniahill/schema";
 
-/** Keeps the times of the last two reads that reached the end. */
+/** The times of the last two reads that reached the end. */
 export class CatchUpTimes {
   #clock: Clock;
-  #longestMs: number;
+  #maxReadMs: number;
   #last = -Infinity;
   #secondLast = -Infinity;
 
   constructor(clock: Clock, { platform }: Settings) {
     this.#clock = clock;
-    this.#longestMs = platform["log-poll"] + platform["log-timeout"];
+    this.#maxReadMs = platform["log-poll"] + platform["log-timeout"];
   }
 
   /**
-   * Notes a read that reached the end. A reply that a paused process receives
-   * late shows the stream as of the longest duration of a read at most.
+   * Records a read that reached the end. A paused process may receive the reply
+   * late, and the reply shows the stream no later than the longest duration of a
+   * read after the request; the recorded time is limited to that.
    */
   record(sentAt: number): void {
     this.#secondLast = this.#last;
-    this.#last = Math.min(this.#clock.now(), sentAt + this.#longestMs);
+    this.#last = Math.min(this.#clock.now(), sentAt + this.#maxReadMs);
   }
 
-  /** The time of the read before the last one; -Infinity without one. */
+  /** The time of the second-to-last read; -Infinity if there was none. */
   get secondLast(): number {
     return this.#secondLast;
   }
--- a/packages/node/src/state/checkpoint-search.ts
+++ b/packages/node/src/state/checkpoint-search.ts
@@ -1,5 +1,5 @@
 /**
- * The search for the checkpoint that a reader starts from.
+ * Finds the checkpoint from which a reader of the control stream starts.
  *
  * @module
  */
@@ -8,19 +8,20 @@
 import type { ControlSnapshot } from "@zinniahill/schema";
 import { Result } from "true-myth";
 
-/** Entries that one read of the log asks for. */
+/** Most entries that one read of the log returns. */
 export const MAX_PAGE_ENTRIES = 500;
 
-/** What the retained part of the stream offers to a reader. */
+/** The retained part of the stream and its newest checkpoint. */
 export interface CheckpointSearchResult {
   /** Oldest retained offset. */
   readonly first: number;
+  /** Undefined when the retained part has no usable checkpoint. */
   readonly checkpoint: ControlSnapshot | undefined;
 }
 
 /**
- * Searches the control stream from its end, because the newest checkpoint is
- * near the end and the retained part may be long.
+ * Finds the newest checkpoint in the control stream. Searches backwards, because
+ * it is near the end and the retained part may be long.
  */
 export async function findNewestCheckpoint(
   log: Log,
@@ -28,11 +29,11 @@
 ): Promise<Result<CheckpointSearchResult, Fault>> {
   const read = (from: number, max: number) =>
     log.read("control", { from, max, waitMs: 0 }, signal);
-  const extent = await read(1, 1);
-  if (extent.isErr) {
-    return Result.err(extent.error);
+  const retained = await read(1, 1);
+  if (retained.isErr) {
+    return Result.err(retained.error);
   }
-  let { first, next: end } = extent.value;
+  let { first, next: end } = retained.value;
   while (end > first) {
     const from = Math.max(first, end - MAX_PAGE_ENTRIES);
     const page = await read(from, end - from);
--- a/packages/node/src/state/checkpoint-writer.ts
+++ b/packages/node/src/state/checkpoint-writer.ts
@@ -1,6 +1,6 @@
 /**
- * Checkpoints: the reducer's state, appended well before the records expire
- * that it was made from.
+ * Appends checkpoints, which hold the reducer's state, well before the records
+ * that produced the state expire.
  *
  * @module
  */
@@ -18,7 +18,7 @@
 
 const CHECK_INTERVAL_MS = 1000;
 
-/** Appends checkpoints when it is this node's turn. */
+/** Appends a checkpoint when one is due and no other node has appended it. */
 export class CheckpointWriter implements Service {
   #clock: Clock;
   #logger: Logger;
@@ -26,7 +26,7 @@
   #settings: Settings;
   #state: ControlState;
   #tasks: TaskGroup;
-  #written = 0;
+  #writtenCount = 0;
 
   constructor(kernel: NodeKernel) {
     this.#clock = kernel.find("clock");
@@ -50,17 +50,20 @@
   }
 
   dump(): unknown {
-    return { written: this.#written };
+    return { written: this.#writtenCount };
   }
 
-  /** Waits for this node's turn and appends unless another node did. */
+  /**
+   * Waits for this node's delay, so that nodes don't append at once, and appends
+   * unless another node has done so meanwhile.
+   */
   async #writeWhenDue(signal: AbortSignal): Promise<void> {
     if (!this.#isDue()) {
       return;
     }
     const delayMs = computeCheckpointDelay({
       node: this.#settings.node.name,
-      holders: this.#listHolders(),
+      holders: this.#listLeaseHolders(),
       stepMs: this.#settings.platform["log-timeout"],
       spreadMs: this.#settings.timing["checkpoint-interval"] / 2,
     }, this.#random);
@@ -76,7 +79,7 @@
       state,
     }, signal);
     if (decision.isOk) {
-      this.#written++;
+      this.#writtenCount++;
       this.#logger.info("checkpoint_written", { as_of: state.asOf });
     }
   }
@@ -93,8 +96,8 @@
     });
   }
 
-  /** Nodes whose lease has not lapsed, in the order of their scopes. */
-  #listHolders(): string[] {
+  /** Holders of leases that have not expired, sorted by scope. */
+  #listLeaseHolders(): string[] {
     const termMs = this.#settings.timing["lease-term"];
     return [...this.#state.control.leases.values()]
       .filter(({ scope }) => {
--- a/packages/node/src/state/control-state.ts
+++ b/packages/node/src/state/control-state.ts
@@ -1,5 +1,5 @@
 /**
- * The control stream as this node has read it.
+ * The state that this node derives from the control stream.
  *
  * @module
  */
@@ -29,24 +29,24 @@
 import { Proposer } from "./proposer.ts";
 import { OBSTACLES, type ReadStatus } from "./read-status.ts";
 
-const RETRY_PAUSE_MS = 200;
-/** A search reads all that is retained, so it is not repeated at once. */
-const SEARCH_PAUSE_MS = 2000;
+const RETRY_DELAY_MS = 200;
+/** Longer, because a search may read all that the log retains. */
+const SEARCH_RETRY_DELAY_MS = 2000;
 
-/** Where a state that was adopted as a whole came from. */
+/** The source of an adopted snapshot. */
 export type SnapshotSource = "checkpoint" | "peer";
 
-type Effect<Kind extends ControlRecord["kind"]> = (
+type DecisionHandler<Kind extends ControlRecord["kind"]> = (
   record: ControlRecordOf<Kind>,
   offset: number,
   decision: Decision,
 ) => void;
 
-/** Reads the control stream and proposes records to it. */
+/** Applies the control stream to the reducer and proposes records. */
 export class ControlState implements Service {
-  /** Notified whenever the state or the log's health changes. */
+  /** Notified when the state, the read status or the log's health changes. */
   readonly changed = new Condition();
-  /** When reads reached the end of the stream. */
+  /** When the last reads reached the end of the stream. */
   readonly catchUpTimes: CatchUpTimes;
   #clock: Clock;
   #logger: Logger;
@@ -54,15 +54,15 @@
   #settings: Settings;
   #tasks: TaskGroup;
   #reducer = new ControlReducer();
-  #proposals: Proposer;
+  #proposer: Proposer;
   #rules: Rules | undefined;
-  #reading: ReadStatus = "starting";
+  #readStatus: ReadStatus = "starting";
   #isLogReachable = false;
   #isCaughtUp = false;
-  #mustSearch = true;
+  #needsCheckpoint = true;
   #checkpoint = { asOf: 0, readAt: 0 };
   #unknownRecords = 0;
-  #leaseReadAt = new Map<string, { last: number; at: number }>();
+  #leaseReadTimes = new Map<string, { last: number; readAt: number }>();
 
   constructor(kernel: NodeKernel) {
     this.#clock = kernel.find("clock");
@@ -71,7 +71,7 @@
     this.#settings = kernel.find("settings");
     this.#tasks = new TaskGroup(this.#clock, this.#logger);
     this.catchUpTimes = new CatchUpTimes(this.#clock, this.#settings);
-    this.#proposals = new Proposer(
+    this.#proposer = new Proposer(
       this.#clock,
       this.#log,
       this.#settings.platform["log-timeout"],
@@ -79,12 +79,12 @@
     this.#checkpoint.readAt = this.#clock.now();
   }
 
-  /** The agreed state. */
+  /** The state that all nodes derive from the same records. */
   get control(): ControlReducer {
     return this.#reducer;
   }
 
-  /** The rules in force; undefined while no configuration is known. */
+  /** The rules in force; undefined while no valid configuration is known. */
   get rules(): Rules | undefined {
     return this.#rules;
   }
@@ -96,15 +96,15 @@
 
   /** Whether the last read reached the end of the stream. */
   get isCaughtUp(): boolean {
-    return this.#isCaughtUp && this.#reading === "following";
+    return this.#isCaughtUp && this.#readStatus === "following";
   }
 
-  /** Whether the log cannot bring this node's state up to date at present. */
+  /** Whether the log cannot bring this node up to date at present. */
   get needsPeerSnapshot(): boolean {
-    return this.#reading === "unreachable" || this.#reading === "expired";
+    return this.#readStatus === "unreachable" || this.#readStatus === "expired";
   }
 
-  /** The newest checkpoint that was read, and when. */
+  /** The offset that the newest checkpoint covers, and when it was read. */
   get checkpoint(): { readonly asOf: number; readonly readAt: number } {
     return this.#checkpoint;
   }
@@ -117,13 +117,13 @@
     if (this.#reducer.configuration.version > 0) {
       return "the configuration in force is invalid";
     }
-    return OBSTACLES[this.#reading];
+    return OBSTACLES[this.#readStatus];
   }
 
   start(): void {
     this.#tasks.repeat(
       "read_control",
-      RETRY_PAUSE_MS,
+      RETRY_DELAY_MS,
       (signal) => this.#readStream(signal),
     );
   }
@@ -135,7 +135,7 @@
   dump(): unknown {
     return {
       isLogReachable: this.#isLogReachable,
-      reading: this.#reading,
+      reading: this.#readStatus,
       obstacle: this.obstacle ?? null,
       unknownRecords: this.#unknownRecords,
       checkpoint: this.#checkpoint,
@@ -143,39 +143,39 @@
     };
   }
 
-  /** When this node read the last accepted lease record of a scope. */
+  /** When this node read the last accepted lease record of a scope, in ms. */
   findLeaseReadTime(scope: string): number | undefined {
-    return this.#leaseReadAt.get(scope)?.at;
+    return this.#leaseReadTimes.get(scope)?.readAt;
   }
 
   /**
-   * Appends a record and waits until this node has read it. The decision is
-   * the reducer's; a refusal says whether the append may have taken effect.
+   * Appends a record and waits until the reducer has decided it. The verdict of
+   * a refusal says whether the append may have taken effect.
    */
   propose(
     record: ControlRecord,
     signal: AbortSignal,
   ): Promise<Result<Decision, Refusal>> {
-    return this.#proposals.propose(record, signal);
+    return this.#proposer.propose(record, signal);
   }
 
   /**
-   * Replaces the state by a later one of the same stream. An earlier state, or
-   * one with a lower version of the configuration, is refused.
+   * Replaces the state with a snapshot of the same stream. Returns false for a
+   * snapshot that isn't newer or has a lower version of the configuration.
    */
   adopt(snapshot: ControlSnapshot, source: SnapshotSource): boolean {
     const { version } = this.#reducer.configuration;
-    const isLater = snapshot.asOf > this.#reducer.asOf;
-    if (!isLater || snapshot.configuration.version < version) {
+    const isNewer = snapshot.asOf > this.#reducer.asOf;
+    if (!isNewer || snapshot.configuration.version < version) {
       return false;
     }
     this.#reducer.restore(snapshot);
-    this.#noteLeases();
+    this.#recordLeaseReadTimes();
     if (snapshot.configuration.version > version) {
-      this.#readRules();
+      this.#parseConfiguration();
     }
-    for (const id of this.#proposals.pendingIds) {
-      this.#settleFromState(id);
+    for (const id of this.#proposer.pendingIds) {
+      this.#resolveFromState(id);
     }
     this.#logger.info("state_adopted", { source, as_of: snapshot.asOf });
     this.changed.notify();
@@ -184,8 +184,8 @@
 
   async #readStream(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      if (this.#mustSearch && !await this.#startFromCheckpoint(signal)) {
-        await this.#clock.sleep(SEARCH_PAUSE_MS, signal);
+      if (this.#needsCheckpoint && !await this.#startFromCheckpoint(signal)) {
+        await this.#clock.sleep(SEARCH_RETRY_DELAY_MS, signal);
         return;
       }
       const sentAt = this.#clock.now();
@@ -194,7 +194,7 @@
         max: MAX_PAGE_ENTRIES,
         waitMs: this.#settings.platform["log-poll"],
       }, signal);
-      this.#setReachable(page.isOk);
+      this.#setLogReachable(page.isOk);
       if (page.isErr || !this.#applyPage(page.value)) {
         return;
       }
@@ -204,34 +204,37 @@
     }
   }
 
-  /** Adopts the newest checkpoint; fails when no entry can follow the state. */
+  /**
+   * Adopts the newest checkpoint. Returns false when the next entry after the
+   * state is no longer retained, or the search failed.
+   */
   async #startFromCheckpoint(signal: AbortSignal): Promise<boolean> {
     const search = await findNewestCheckpoint(this.#log, signal);
-    this.#setReachable(search.isOk);
+    this.#setLogReachable(search.isOk);
     if (search.isErr) {
       return false;
     }
     const { first, checkpoint } = search.value;
     if (checkpoint !== undefined) {
-      this.#noteCheckpoint(checkpoint.asOf);
+      this.#recordCheckpoint(checkpoint.asOf);
       this.adopt(checkpoint, "checkpoint");
     }
     const canFollow = first <= this.#reducer.asOf + 1;
-    this.#mustSearch = !canFollow;
-    this.#setReading(canFollow ? "following" : "expired");
+    this.#needsCheckpoint = !canFollow;
+    this.#setReadStatus(canFollow ? "following" : "expired");
     return canFollow;
   }
 
   #applyPage(page: LogPage): boolean {
     if (page.first > this.#reducer.asOf + 1) {
-      this.#mustSearch = true;
+      this.#needsCheckpoint = true;
       return true;
     }
     if (page.next <= this.#reducer.asOf) {
-      this.#setReading("truncated");
+      this.#setReadStatus("truncated");
       return false;
     }
-    this.#setReading("following");
+    this.#setReadStatus("following");
     for (const { offset, records } of page.entries) {
       if (offset > this.#reducer.asOf) {
         this.#applyEntry(offset, records);
@@ -245,8 +248,8 @@
   }
 
   #applyEntry(offset: number, records: readonly unknown[]): void {
-    for (const candidate of records) {
-      const record = ControlRecord.safeParse(candidate);
+    for (const rawRecord of records) {
+      const record = ControlRecord.safeParse(rawRecord);
       if (record.success) {
         this.#applyRecord(offset, record.data);
       } else {
@@ -258,61 +261,65 @@
   }
 
   #applyRecord(offset: number, record: ControlRecord): void {
-    const isRepeat = this.#reducer.findDecision(record.id) !== undefined;
+    const isDuplicate = this.#reducer.findDecision(record.id) !== undefined;
     const decision = this.#reducer.apply(offset, record);
-    if (isRepeat) {
-      this.#settleFromState(record.id);
+    if (isDuplicate) {
+      this.#resolveFromState(record.id);
       return;
     }
-    const effect = this.#effects[record.kind] as
-      | Effect<typeof record.kind>
+    const handler = this.#decisionHandlers[record.kind] as
+      | DecisionHandler<typeof record.kind>
       | undefined;
-    effect?.(record, offset, decision);
-    this.#proposals.resolve(record.id, decision);
+    handler?.(record, offset, decision);
+    this.#proposer.resolve(record.id, decision);
   }
 
-  /** What this node does once the reducer has decided a record. */
-  readonly #effects: {
-    readonly [Kind in ControlRecord["kind"]]?: Effect<Kind>;
+  /** Run once the reducer has decided a record; some kinds need nothing. */
+  readonly #decisionHandlers: {
+    readonly [Kind in ControlRecord["kind"]]?: DecisionHandler<Kind>;
   } = {
     "configuration": (_record, offset, decision) => {
       if (decision.accepted) {
-        this.#readRules();
+        this.#parseConfiguration();
         this.#logger.info("configuration_in_force", { version: offset });
       }
     },
-    "lease": () => this.#noteLeases(),
-    "checkpoint": ({ state }) => this.#noteCheckpoint(state.asOf),
+    "lease": () => this.#recordLeaseReadTimes(),
+    "checkpoint": ({ state }) => this.#recordCheckpoint(state.asOf),
   };
 
-  #settleFromState(id: string): void {
-    const isHeld = [...this.#reducer.leases.values()]
+  /**
+   * Resolves a proposal from the state alone. The last lease record of a scope
+   * was accepted.
+   */
+  #resolveFromState(id: string): void {
+    const isLastLeaseRecord = [...this.#reducer.leases.values()]
       .some(({ lastId }) => lastId === id);
-    const accepted = isHeld || this.#reducer.findDecision(id);
+    const accepted = isLastLeaseRecord || this.#reducer.findDecision(id);
     if (accepted !== undefined) {
-      const reason = "refused; the reason is not part of a snapshot";
-      this.#proposals.resolve(
+      const reason = "refused; a snapshot does not include the reason";
+      this.#proposer.resolve(
         id,
         accepted ? { accepted } : { accepted, reason },
       );
     }
   }
 
-  #noteCheckpoint(asOf: number): void {
+  #recordCheckpoint(asOf: number): void {
     if (asOf > this.#checkpoint.asOf) {
       this.#checkpoint = { asOf, readAt: this.#clock.now() };
     }
   }
 
-  #noteLeases(): void {
+  #recordLeaseReadTimes(): void {
     for (const [scope, { last }] of this.#reducer.leases) {
-      if (this.#leaseReadAt.get(scope)?.last !== last) {
-        this.#leaseReadAt.set(scope, { last, at: this.#clock.now() });
+      if (this.#leaseReadTimes.get(scope)?.last !== last) {
+        this.#leaseReadTimes.set(scope, { last, readAt: this.#clock.now() });
       }
     }
   }
 
-  #readRules(): void {
+  #parseConfiguration(): void {
     parseRules(this.#reducer.configuration.text).match({
       Ok: (rules) => {
         this.#rules = rules;
@@ -326,9 +333,9 @@
     });
   }
 
-  #setReachable(isReachable: boolean): void {
+  #setLogReachable(isReachable: boolean): void {
     if (!isReachable) {
-      this.#setReading("unreachable");
+      this.#setReadStatus("unreachable");
     }
     if (this.#isLogReachable !== isReachable) {
       this.#isLogReachable = isReachable;
@@ -337,9 +344,9 @@
     }
   }
 
-  #setReading(reading: ReadStatus): void {
-    if (this.#reading !== reading) {
-      this.#reading = reading;
+  #setReadStatus(reading: ReadStatus): void {
+    if (this.#readStatus !== reading) {
+      this.#readStatus = reading;
       this.#logger.info("control_reading", { reading });
       this.changed.notify();
     }
--- a/packages/node/src/state/proposer.ts
+++ b/packages/node/src/state/proposer.ts
@@ -1,5 +1,5 @@
 /**
- * Records that this node has appended and whose decision it waits for.
+ * Appends records to the control stream and waits for the reducer's decision.
  *
  * @module
  */
@@ -9,18 +9,18 @@
 import { type ControlRecord, Refusal } from "@zinniahill/schema";
 import { Result } from "true-myth";
 
-/** Appends of one record; a repeat covers an append that never arrived. */
+/** The second attempt is for an append that never reached the log. */
 const APPEND_ATTEMPTS = 2;
 
-type Decided = { readonly decision: Decision };
-type Appended = { readonly reply: Result<number, Fault> };
+type DecisionOutcome = { readonly decision: Decision };
+type AppendOutcome = { readonly reply: Result<number, Fault> };
 
-/** Appends records and matches them with what the reader decides. */
+/** Appends records and matches them by id with the reducer's decisions. */
 export class Proposer {
   #clock: Clock;
   #log: Log;
   #timeoutMs: number;
-  #pending = new Map<string, (decision: Decision) => void>();
+  #resolvers = new Map<string, (decision: Decision) => void>();
 
   constructor(clock: Clock, log: Log, timeoutMs: number) {
     this.#clock = clock;
@@ -28,41 +28,45 @@
     this.#timeoutMs = timeoutMs;
   }
 
-  /** Ids of the records that wait for their decision. */
+  /** Ids of the records without a decision so far. */
   get pendingIds(): string[] {
-    return [...this.#pending.keys()];
+    return [...this.#resolvers.keys()];
   }
 
-  /** Hands a decision to the task that waits for it, if there is one. */
+  /** Passes a decision to the proposal that waits for it, if there is one. */
   resolve(id: string, decision: Decision): void {
-    this.#pending.get(id)?.(decision);
-    this.#pending.delete(id);
+    this.#resolvers.get(id)?.(decision);
+    this.#resolvers.delete(id);
   }
 
   /**
-   * Appends a record and waits until the reader has decided it. The refusal's
-   * verdict is `not-run` only if no append of the record was sent.
+   * Appends a record and waits for its decision. The verdict of a refusal is
+   * `not-run` only if no append of the record was sent.
    */
   async propose(
     record: ControlRecord,
     signal: AbortSignal,
   ): Promise<Result<Decision, Refusal>> {
-    const decided = new Promise<Decided>((resolve) => {
-      this.#pending.set(record.id, (decision) => resolve({ decision }));
+    const decisionOutcome = new Promise<DecisionOutcome>((resolve) => {
+      this.#resolvers.set(record.id, (decision) => resolve({ decision }));
     });
-    let isSent = false;
+    let mayBeSent = false;
     try {
       for (let attempt = 1; attempt <= APPEND_ATTEMPTS; attempt++) {
-        const first = await this.#append(record, decided, signal);
-        if ("decision" in first) {
-          return Result.ok(first.decision);
+        const outcome = await this.#append(record, decisionOutcome, signal);
+        if ("decision" in outcome) {
+          return Result.ok(outcome.decision);
         }
-        const { reply } = first;
-        isSent ||= reply.isOk || reply.error.verdict !== "not-run";
-        if (!isSent) {
+        const { reply } = outcome;
+        mayBeSent ||= reply.isOk || reply.error.verdict !== "not-run";
+        if (!mayBeSent) {
           return Result.err(createNotSentRefusal());
         }
-        const decision = await this.#wait(reply.isOk, decided, signal);
+        const decision = await this.#waitForDecision(
+          reply.isOk,
+          decisionOutcome,
+          signal,
+        );
         if (decision !== undefined) {
           return Result.ok(decision);
         }
@@ -71,42 +75,42 @@
         }
       }
     } catch {
-      // An aborted wait says nothing about whether the append took effect.
+      // After an abort it is unknown whether the append took effect.
     } finally {
-      this.#pending.delete(record.id);
+      this.#resolvers.delete(record.id);
     }
     return Result.err(createUndecidedRefusal());
   }
 
-  /** The record may be read before the reply to its append comes. */
+  /** Appends a record. The decision may come before the reply to the append. */
   #append(
     record: ControlRecord,
-    decided: Promise<Decided>,
+    decisionOutcome: Promise<DecisionOutcome>,
     signal: AbortSignal,
-  ): Promise<Decided | Appended> {
-    const appended = this.#log.append("control", [record], signal)
-      .then((reply): Appended => ({ reply }));
-    return Promise.race([decided, appended]);
+  ): Promise<DecisionOutcome | AppendOutcome> {
+    const appendOutcome = this.#log.append("control", [record], signal)
+      .then((reply): AppendOutcome => ({ reply }));
+    return Promise.race([decisionOutcome, appendOutcome]);
   }
 
-  /** Waits for the decision; longer when the record is known to be stored. */
-  async #wait(
+  /** Waits for the decision; twice as long if the record is in the log. */
+  async #waitForDecision(
     isStored: boolean,
-    decided: Promise<Decided>,
+    decisionOutcome: Promise<DecisionOutcome>,
     signal: AbortSignal,
   ): Promise<Decision | undefined> {
-    const limitMs = (isStored ? 2 : 1) * this.#timeoutMs;
+    const timeoutMs = (isStored ? 2 : 1) * this.#timeoutMs;
     try {
       const { decision } = await withDeadline(
         this.#clock,
-        limitMs,
+        timeoutMs,
         signal,
-        () => decided,
+        () => decisionOutcome,
       );
       return decision;
-    } catch (failure) {
+    } catch (error) {
       if (signal.aborted) {
-        throw failure;
+        throw error;
       }
       return undefined;
     }
--- a/packages/node/src/state/read-status.ts
+++ b/packages/node/src/state/read-status.ts
@@ -1,28 +1,28 @@
 /**
- * How the reading of the control stream stands.
+ * The status of reading the control stream.
  *
  * @module
  */
 
-/** What the reader of the stream last met. */
+/** The result of the last read. */
 export type ReadStatus =
   /** No read has ended yet. */
   | "starting"
-  /** Entries are applied as they come. */
+  /** Entries are applied as they arrive. */
   | "following"
   /** The last read failed. */
   | "unreachable"
-  /** Entries that this node has not read have expired, with no checkpoint. */
+  /** Unread entries have expired and no retained checkpoint covers them. */
   | "expired"
-  /** The log ends before the state that this node holds. */
+  /** The log ends before the offset of this node's state. */
   | "truncated";
 
-/** What an operator is told when no configuration is known. */
+/** Why no rules are in force, as shown to operators. */
 export const OBSTACLES: { readonly [Kind in ReadStatus]: string } = {
   starting: "the log has not been read yet",
   following: "no configuration has been published",
-  unreachable: "the log cannot be read and no peer has given its state",
-  expired: "records have expired and neither a checkpoint nor the state of " +
-    "a peer covers them",
-  truncated: "the log ends before this node's state",
+  unreachable: "the log cannot be read and no peer has sent its state",
+  expired: "records have expired, and neither a checkpoint nor a peer's " +
+    "state covers them",
+  truncated: "the log ends before the offset of this node's state",
 };
--- a/packages/node/src/state/state-recovery.ts
+++ b/packages/node/src/state/state-recovery.ts
@@ -1,6 +1,6 @@
 /**
- * Recovery from peers: the control state of other nodes, for a node that the
- * log cannot bring up to date.
+ * Recovers the control state from peers when the log cannot bring this node up
+ * to date.
  *
  * @module
  */
@@ -16,19 +16,19 @@
 import type { NodeKernel } from "../services.ts";
 import type { ControlState } from "./control-state.ts";
 
-const ROUND_INTERVAL_MS = 500;
-/** A peer that has not replied by then does not hold up the others' reply. */
-const REPLY_DEADLINE_MS = 2000;
+const RECOVERY_INTERVAL_MS = 500;
+/** Limits how long one silent peer delays the use of other peers' replies. */
+const REPLY_TIMEOUT_MS = 2000;
 
-/** Asks peers for their state, and gives this node's own. */
+/** Requests snapshots from peers and answers their requests. */
 export class StateRecovery implements Service {
   #clock: Clock;
   #state: ControlState;
   #peers: Peers;
   #tasks: TaskGroup;
-  #replies = new Map<string, ControlSnapshot>();
-  #replied = new Condition();
-  #requests = 0;
+  #snapshots = new Map<string, ControlSnapshot>();
+  #snapshotReceived = new Condition();
+  #requestCount = 0;
 
   constructor(kernel: NodeKernel) {
     this.#clock = kernel.find("clock");
@@ -40,15 +40,15 @@
       this.#peers.send(node, { kind: "snapshot", state });
     });
     this.#peers.onMessage("snapshot", (node, { state }) => {
-      this.#replies.set(node, state);
-      this.#replied.notify();
+      this.#snapshots.set(node, state);
+      this.#snapshotReceived.notify();
     });
   }
 
   start(): void {
     this.#tasks.repeat(
       "recover_state",
-      ROUND_INTERVAL_MS,
+      RECOVERY_INTERVAL_MS,
       (signal) => this.#recover(signal),
     );
   }
@@ -58,36 +58,37 @@
   }
 
   dump(): unknown {
-    return { requests: this.#requests };
+    return { requests: this.#requestCount };
   }
 
-  /** Asks every peer that is ahead and adopts the latest of their states. */
+  /** Asks every peer that is ahead and adopts the newest of their snapshots. */
   async #recover(signal: AbortSignal): Promise<void> {
     if (!this.#state.needsPeerSnapshot || !this.#peers.hasSettled) {
       return;
     }
-    const asked = this.#peers.list()
+    const askedNodes = this.#peers.list()
       .filter((peer) => this.#isAhead(peer))
       .map(({ hello }) => hello.node);
-    if (asked.length === 0) {
+    if (askedNodes.length === 0) {
       return;
     }
-    this.#replies.clear();
-    this.#requests += asked.length;
-    for (const node of asked) {
+    this.#snapshots.clear();
+    this.#requestCount += askedNodes.length;
+    for (const node of askedNodes) {
       this.#peers.send(node, { kind: "snapshot-request" });
     }
-    await this.#waitForReplies(asked, signal);
-    const [latest] = [...this.#replies.values()]
+    await this.#waitForReplies(askedNodes, signal);
+    const [newest] = [...this.#snapshots.values()]
       .sort((a, b) => b.asOf - a.asOf);
-    if (latest !== undefined) {
-      this.#state.adopt(latest, "peer");
+    if (newest !== undefined) {
+      this.#state.adopt(newest, "peer");
     }
   }
 
   /**
-   * A node with no state takes any; one that holds a state asks only for a
-   * newer configuration, because a state is large and leases change often.
+   * Compares offsets if this node has no state or can reach the log. Otherwise
+   * only a newer configuration counts, because a snapshot is large and leases
+   * change often.
    */
   #isAhead({ heartbeat }: Peer): boolean {
     const { asOf, configuration } = this.#state.control;
@@ -100,22 +101,22 @@
   }
 
   async #waitForReplies(
-    asked: readonly string[],
+    askedNodes: readonly string[],
     signal: AbortSignal,
   ): Promise<void> {
     try {
       await withDeadline(
         this.#clock,
-        REPLY_DEADLINE_MS,
+        REPLY_TIMEOUT_MS,
         signal,
-        (limited) =>
-          this.#replied.until(
-            () => asked.every((node) => this.#replies.has(node)),
-            limited,
+        (limitedSignal) =>
+          this.#snapshotReceived.until(
+            () => askedNodes.every((node) => this.#snapshots.has(node)),
+            limitedSignal,
           ),
       );
     } catch {
-      // The states that did arrive are used.
+      // After the timeout, the snapshots that have arrived are used.
     }
   }
 }
