--- a/packages/node/test/state/checkpoints.test.ts
+++ b/packages/node/test/state/checkpoints.test.ts
@@ -34,7 +34,7 @@
     let cluster: Cluster;
     afterEach(() => cluster.stop());
 
-    it("appends one in the interval although no node holds a lease", async () => {
+    it("appends one per interval although no node holds a lease", async () => {
       cluster = new Cluster(4);
       cluster.platform.log.append("control", [
         createConfiguration("c", 0, "one"),
@@ -46,7 +46,7 @@
       expect(length).toBeLessThanOrEqual(10);
     });
 
-    it("appends one after enough records, by the holder of a lease", async () => {
+    it("has a lease holder append one once enough records have passed", async () => {
       cluster = new Cluster(4, () => ({ limits: ["checkpoint-records = 16"] }));
       await cluster.startAll();
       const { log } = cluster.platform;
@@ -65,7 +65,7 @@
       expect(writers.map(({ node }) => node)).toEqual(["n2"]);
     });
 
-    it("keeps the state in a log that retains few entries", async () => {
+    it("lets a new reader recover the state although the log retains few entries", async () => {
       cluster = new Cluster(3, () => ({ limits: ["checkpoint-records = 16"] }));
       cluster.platform.log.retention = { entries: 64 };
       await cluster.startAll();
@@ -75,16 +75,16 @@
         log.append("control", [createHostDrain(`d${entry}`, entry % 2 === 0)]);
         await cluster.clock.advance(2000);
       }
-      const late = createControlState(
+      const lateReader = createControlState(
         cluster.clock,
         cluster.platform.createClients("late").log,
       );
       await cluster.clock.advance(100);
-      expect(late.rules?.models.has("one")).toBe(true);
-      expect(late.control.createSnapshot()).toEqual(
+      expect(lateReader.rules?.models.has("one")).toBe(true);
+      expect(lateReader.control.createSnapshot()).toEqual(
         cluster.nodes[0]!.find("state").control.createSnapshot(),
       );
-      await late.stop();
+      await lateReader.stop();
     });
   });
 
@@ -97,37 +97,37 @@
       platform = new MemoryPlatform(clock);
     });
 
-    function start(name: string) {
+    function startReader(name: string) {
       return createControlState(clock, platform.createClients(name).log);
     }
 
-    it("ignores a checkpoint once it holds a newer version", async () => {
-      const state = start("a");
+    it("refuses a checkpoint with an older version of the configuration", async () => {
+      const state = startReader("a");
       const reducer = new ControlReducer();
       const first = createConfiguration("c", 0, "one");
       reducer.apply(platform.log.append("control", [first]), first);
-      const old = reducer.createSnapshot();
+      const olderSnapshot = reducer.createSnapshot();
       platform.log.append("control", [createConfiguration("d", 1, "two")]);
-      platform.log.append("control", [createCheckpoint("k", old)]);
+      platform.log.append("control", [createCheckpoint("k", olderSnapshot)]);
       await clock.advance(100);
       expect(state.rules?.models.has("two")).toBe(true);
-      expect(state.adopt(old, "checkpoint")).toBe(false);
+      expect(state.adopt(olderSnapshot, "checkpoint")).toBe(false);
       expect(state.control.configuration.version).toBe(2);
     });
 
-    it("does not go back to an earlier state of the same version", async () => {
-      const state = start("a");
+    it("refuses an earlier state with the same version", async () => {
+      const state = startReader("a");
       platform.log.append("control", [createConfiguration("c", 0, "one")]);
       await clock.advance(100);
-      const old = state.control.createSnapshot();
+      const olderSnapshot = state.control.createSnapshot();
       platform.log.append("control", [createHostDrain("x", true)]);
       await clock.advance(100);
-      expect(state.adopt(old, "peer")).toBe(false);
+      expect(state.adopt(olderSnapshot, "peer")).toBe(false);
       expect(state.control.drainedHosts.size).toBe(1);
     });
 
-    it("brings a reader whose offset has expired up to date", async () => {
-      const [follower, late] = [start("a"), start("b")];
+    it("brings a reader up to date whose next offset has expired", async () => {
+      const [follower, lateReader] = [startReader("a"), startReader("b")];
       platform.log.append("control", [createConfiguration("c", 0, "one")]);
       await clock.advance(100);
       platform.network.setModeOfEnd("b", "refuse");
@@ -140,17 +140,17 @@
       platform.log.expire("control", 3);
       platform.network.setModeOfEnd("b", "pass");
       await clock.advance(1000);
-      expect(late.control.createSnapshot())
+      expect(lateReader.control.createSnapshot())
         .toEqual(follower.control.createSnapshot());
-      expect(late.control.asOf).toBe(4);
+      expect(lateReader.control.asOf).toBe(4);
     });
 
-    it("serves nothing and says so when it finds no checkpoint", async () => {
+    it("has no rules and reports why when it finds no checkpoint", async () => {
       platform.log.append("control", [createConfiguration("c", 0, "one")]);
       platform.log.append("control", [createConfiguration("d", 1, "two")]);
       platform.log.append("control", [createHostDrain("x", true)]);
       platform.log.expire("control", 2);
-      const state = start("a");
+      const state = startReader("a");
       await clock.advance(10_000);
       expect(state.rules).toBeUndefined();
       expect(state.control.asOf).toBe(0);
@@ -160,7 +160,7 @@
       });
     });
 
-    it("does not start from a checkpoint that leaves a gap", () => {
+    it("ignores a checkpoint followed by expired entries", () => {
       const reducer = new ControlReducer();
       reducer.apply(1, createHostDrain("x", true));
       const record = createCheckpoint("k", reducer.createSnapshot());
@@ -169,7 +169,7 @@
       expect(findCheckpoint(entries, 3)).toBeUndefined();
     });
 
-    it("does not start from a checkpoint of the future", () => {
+    it("ignores a checkpoint that covers its own offset", () => {
       const reducer = new ControlReducer();
       reducer.apply(9, createHostDrain("x", true));
       const record = createCheckpoint("k", reducer.createSnapshot());
@@ -179,7 +179,7 @@
   });
 
   describe("agreement", () => {
-    /** Creates a record from small numbers, so that records collide often. */
+    /** Creates a record from small numbers, so that ids and hosts often collide. */
     function createRecord(numbers: readonly number[]): unknown {
       const [kind = 0, a = 0, b = 0, c = 0] = numbers;
       const header = { id: `id-${b}-${c}`, node: `n${a}`, scope: SCOPE };
@@ -208,7 +208,7 @@
       return records[kind];
     }
 
-    /** A step: records in one entry, and what happens to the log after it. */
+    /** Records of one entry; then 0 means a checkpoint, an expiry, a new reader. */
     const Step = fc.record({
       records: fc.array(
         fc.tuple(
@@ -224,7 +224,7 @@
       start: fc.nat({ max: 6 }),
     });
 
-    it("gives all readers the same state wherever they start", async () => {
+    it("gives all readers the same state at whichever offset they start", async () => {
       await fc.assert(
         fc.asyncProperty(
           fc.array(Step, { minLength: 4, maxLength: 30 }),
@@ -232,11 +232,11 @@
             const clock = new ManualClock();
             const platform = new MemoryPlatform(clock);
             const { log } = platform;
-            const start = (name: string) =>
+            const startReader = (name: string) =>
               createControlState(clock, platform.createClients(name).log);
-            const first = start("first");
+            const first = startReader("first");
             const readers = [first];
-            let covered = 0;
+            let coveredOffset = 0;
             log.append("control", [{
               kind: "lease",
               id: "lease",
@@ -251,16 +251,16 @@
               if (step.checkpoint === 0) {
                 const state = first.control.createSnapshot();
                 log.append("control", [createCheckpoint(`k${index}`, state)]);
-                covered = state.asOf;
+                coveredOffset = state.asOf;
               }
-              if (step.expire === 0 && covered > 0) {
-                log.expire("control", covered + 1);
+              if (step.expire === 0 && coveredOffset > 0) {
+                log.expire("control", coveredOffset + 1);
               }
               if (step.start === 0) {
-                readers.push(start(`r${index}`));
+                readers.push(startReader(`r${index}`));
               }
             }
-            readers.push(start("last"));
+            readers.push(startReader("last"));
             await clock.advance(5000);
             const expected = first.control.createSnapshot();
             for (const reader of readers) {
@@ -275,10 +275,10 @@
     });
   });
 
-  describe("turns", () => {
-    it("does not make every node append at once", () => {
+  describe("append delays", () => {
+    it("orders lease holders first and delays all other nodes", () => {
       const random = new SeededRandom(SEED);
-      const delays = Array.from(
+      const delaysMs = Array.from(
         { length: 50 },
         (_, index) =>
           computeCheckpointDelay({
@@ -288,9 +288,9 @@
             spreadMs: 30_000,
           }, random),
       );
-      expect(delays[3]).toBe(0);
-      expect(delays[1]).toBe(2000);
-      const others = delays.filter((_, index) => index !== 1 && index !== 3);
+      expect(delaysMs[3]).toBe(0);
+      expect(delaysMs[1]).toBe(2000);
+      const others = delaysMs.filter((_, index) => index !== 1 && index !== 3);
       expect(Math.min(...others)).toBeGreaterThanOrEqual(4000);
     });
   });
--- a/packages/node/test/state/cluster.ts
+++ b/packages/node/test/state/cluster.ts
@@ -1,5 +1,5 @@
 /**
- * Nodes on one clock, with the platform and the links in memory.
+ * Nodes on one manual clock, with an in-memory platform and network.
  *
  * @module
  */
@@ -26,12 +26,12 @@
 import { MemoryPlatform, MemoryTransports } from "@zinniahill/stand-ins";
 import { ControlState } from "../../src/state/control-state.ts";
 
-/** Rules that a test publishes; the name tells versions apart. */
+/** Creates rules with one model, whose name tells versions apart. */
 export function createRulesText(name: string): string {
   return `model ${name} version=1 hosts=1 replicas=0 # asked by the test`;
 }
 
-/** Creates a record with a new configuration. */
+/** Creates a record that publishes a configuration based on a version. */
 export function createConfiguration(
   id: string,
   basis: number,
@@ -41,7 +41,7 @@
   return { kind: "configuration", id, node: "test", basis, text, author: "a" };
 }
 
-/** Creates an operator's command about a host. */
+/** Creates an operator's command to drain a host or to undo that. */
 export function createHostDrain(id: string, drained: boolean): ControlRecord {
   const author = "operator";
   return {
@@ -54,12 +54,12 @@
   };
 }
 
-/** Address on which a node listens for peers. */
+/** Creates the address at which the node at an index listens for peers. */
 export function createPeerAddress(index: number): string {
   return `127.0.0.1:${7000 + index}`;
 }
 
-/** What the settings of a node in a test may change. */
+/** Settings of a node that a test may override. */
 export interface SettingsOverrides {
   readonly name?: string;
   readonly dataCentre?: string;
@@ -71,13 +71,13 @@
 /** Creates the settings of the node at an index. */
 export function createSettings(
   index: number,
-  change: SettingsOverrides = {},
+  overrides: SettingsOverrides = {},
 ): Settings {
-  const { peers = [], timing = [], limits = [] } = change;
+  const { peers = [], timing = [], limits = [] } = overrides;
   const text = [
     "[node]",
-    `name = ${change.name ?? `n${index}`}`,
-    `data-centre = ${change.dataCentre ?? "dc-1"}`,
+    `name = ${overrides.name ?? `n${index}`}`,
+    `data-centre = ${overrides.dataCentre ?? "dc-1"}`,
     `public-address = 127.0.0.1:${8000 + index}`,
     `admin-address = 127.0.0.1:${9000 + index}`,
     `peer-address = ${createPeerAddress(index)}`,
@@ -100,25 +100,25 @@
   });
 }
 
-/** Collects events instead of writing them. */
+/** Collects log events instead of writing them. */
 export class RecordingLogger implements Logger {
   readonly events: { event: string; fields: Fields }[] = [];
-  error = (event: string, fields: Fields = {}) => this.#note(event, fields);
-  warn = (event: string, fields: Fields = {}) => this.#note(event, fields);
-  info = (event: string, fields: Fields = {}) => this.#note(event, fields);
-  debug = (event: string, fields: Fields = {}) => this.#note(event, fields);
+  error = (event: string, fields: Fields = {}) => this.#record(event, fields);
+  warn = (event: string, fields: Fields = {}) => this.#record(event, fields);
+  info = (event: string, fields: Fields = {}) => this.#record(event, fields);
+  debug = (event: string, fields: Fields = {}) => this.#record(event, fields);
 
-  /** The number of events of a name. */
+  /** Counts the events of a name. */
   count(event: string): number {
     return this.events.filter((entry) => entry.event === event).length;
   }
 
-  #note(event: string, fields: Fields): void {
+  #record(event: string, fields: Fields): void {
     this.events.push({ event, fields });
   }
 }
 
-/** Creates the `state` service alone. */
+/** Creates and starts the `state` service without the rest of a node. */
 export function createControlState(
   clock: ManualClock,
   log: Log,
@@ -139,25 +139,25 @@
   return kernel.find("state");
 }
 
-/** Nodes that know each other, and the platform that they share. */
+/** Nodes that are peers of each other, and the platform that they share. */
 export class Cluster {
   readonly clock = new ManualClock();
   readonly platform = new MemoryPlatform(this.clock);
   readonly nodes: NodeKernel[] = [];
   readonly transports = new MemoryTransports(this.platform.network);
   #addresses: string[];
-  #changes: (index: number) => SettingsOverrides;
-  #starts = 0;
+  #createOverrides: (index: number) => SettingsOverrides;
+  #startCount = 0;
 
   constructor(
     size: number,
-    change: (index: number) => SettingsOverrides = () => ({}),
+    overrides: (index: number) => SettingsOverrides = () => ({}),
   ) {
     this.#addresses = Array.from(
       { length: size },
       (_, index) => createPeerAddress(index),
     );
-    this.#changes = change;
+    this.#createOverrides = overrides;
   }
 
   /** Starts all nodes and gives them time to connect. */
@@ -168,17 +168,20 @@
     await this.clock.advance(settleMs);
   }
 
-  /** Starts the node at an index, with an empty memory. */
+  /** Starts the node at an index without any earlier state. */
   async startNode(
     index: number,
     replacements: Replacements = {},
   ): Promise<NodeKernel> {
     const peers = this.#addresses.filter((_, other) => other !== index);
-    const settings = createSettings(index, { peers, ...this.#changes(index) });
-    this.#starts++;
+    const settings = createSettings(index, {
+      peers,
+      ...this.#createOverrides(index),
+    });
+    this.#startCount++;
     const node = createCoreNode(settings, {
       clock: this.clock,
-      random: new SeededRandom(1000 + this.#starts),
+      random: new SeededRandom(1000 + this.#startCount),
       peerTransport: this.createTransport(index),
       ...this.platform.createClients(settings.node.name),
       ...replacements,
@@ -193,18 +196,18 @@
     return this.transports.create(createPeerAddress(index));
   }
 
-  /** Stops a node, as the end of its process does. */
+  /** Stops the node at an index, as if its process ended. */
   async stopNode(index: number): Promise<void> {
     await this.nodes[index]?.stop();
   }
 
-  /** Stops everything. */
+  /** Stops all nodes and the platform. */
   async stop(): Promise<void> {
     await Promise.allSettled(this.nodes.map((node) => node.stop()));
     await this.platform.stop();
   }
 
-  /** Versions of the configuration that the nodes have in force. */
+  /** The version of the configuration in force at each node; 0 without one. */
   get activeVersions(): number[] {
     return this.nodes.map((node) => {
       const { rules, control } = node.find("state");
@@ -212,7 +215,10 @@
     });
   }
 
-  /** Advances in small steps until a condition holds; returns the time taken. */
+  /**
+   * Advances the clock in small steps until a condition holds or the limit has
+   * passed. Returns the time that passed, in ms.
+   */
   async advanceUntil(limitMs: number, isMet: () => boolean): Promise<number> {
     const startedAt = this.clock.now();
     while (!isMet() && this.clock.now() - startedAt < limitMs) {
--- a/packages/node/test/state/control-state.test.ts
+++ b/packages/node/test/state/control-state.test.ts
@@ -9,7 +9,7 @@
   RecordingLogger,
 } from "./cluster.ts";
 
-const LIMIT_MS = 20_000;
+const TIMEOUT_MS = 20_000;
 
 describe("ControlState", () => {
   let clock: ManualClock;
@@ -28,20 +28,22 @@
     return createControlState(clock, platform.createClients(name).log, logger);
   }
 
-  /** Resolves a proposal by moving the clock. */
-  async function settle<Value>(work: Promise<Value>): Promise<Value> {
+  /** Advances the clock until a promise has settled. */
+  async function advanceUntilSettled<Value>(
+    work: Promise<Value>,
+  ): Promise<Value> {
     let isDone = false;
     void work.finally(() => {
       isDone = true;
     });
-    for (let ms = 0; ms < LIMIT_MS && !isDone; ms += 100) {
+    for (let ms = 0; ms < TIMEOUT_MS && !isDone; ms += 100) {
       await clock.advance(100);
     }
     return await work;
   }
 
   describe("reading", () => {
-    it("applies more entries than one page holds", async () => {
+    it("applies more entries than fit in one page", async () => {
       for (let entry = 1; entry <= 1200; entry++) {
         const records = [createHostDrain(`${entry}`, entry % 2 === 0)];
         platform.log.append("control", records);
@@ -52,7 +54,7 @@
       expect([...state.control.drainedHosts]).toEqual(["h1"]);
     });
 
-    it("skips unknown and broken records and counts them", async () => {
+    it("skips and counts unknown and invalid records", async () => {
       const known = createConfiguration("c", 0, "one");
       const broken = { ...known, id: "d", basis: "one" };
       platform.log.append("control", [{ kind: "later" }, null, 7, known]);
@@ -68,7 +70,7 @@
       expect(logger.count("record_unknown")).toBe(8);
     });
 
-    it("goes on from its offset after the log was down", async () => {
+    it("continues from its offset after an outage of the log", async () => {
       const state = startState("a");
       platform.log.append("control", [createConfiguration("c", 0, "one")]);
       await clock.advance(100);
@@ -83,7 +85,7 @@
       expect(state.rules?.models.has("two")).toBe(true);
     });
 
-    it("keeps its state when the log ends before it", async () => {
+    it("keeps its state when the log ends before its offset", async () => {
       const state = startState("a");
       platform.log.append("control", [createConfiguration("c", 0, "one")]);
       platform.log.append("control", [createConfiguration("d", 1, "two")]);
@@ -100,7 +102,7 @@
   });
 
   describe("proposals", () => {
-    it("gives the decision when the reply to the append is lost", async () => {
+    it("returns the decision when the reply to the append is lost", async () => {
       const state = startState("a");
       await clock.advance(100);
       platform.network.setMode("a", LOG_END, "reply-lost");
@@ -110,11 +112,11 @@
       );
       await clock.advance(500);
       platform.network.setMode("a", LOG_END, "pass");
-      const decision = await settle(proposal);
+      const decision = await advanceUntilSettled(proposal);
       expect(decision.isOk && decision.value.accepted).toBe(true);
     });
 
-    it("repeats an append that never arrived, with the same id", async () => {
+    it("repeats an append that never reached the log, with the same id", async () => {
       const state = startState("a");
       await clock.advance(100);
       platform.network.setMode("a", LOG_END, "silent");
@@ -124,51 +126,51 @@
       );
       await clock.advance(2500);
       platform.network.setMode("a", LOG_END, "pass");
-      const decision = await settle(proposal);
+      const decision = await advanceUntilSettled(proposal);
       expect(decision.isOk && decision.value.accepted).toBe(true);
       expect(platform.log.entries("control").length).toBe(1);
     });
 
-    it("says not-run only when nothing was sent", async () => {
+    it("refuses with not-run only when nothing was sent", async () => {
       const state = startState("a");
       await clock.advance(100);
       platform.network.setMode("a", LOG_END, "refuse");
-      const refused = await settle(
+      const refused = await advanceUntilSettled(
         state.propose(createHostDrain("x", true), signal),
       );
       expect(refused.isErr && refused.error.verdict).toBe("not-run");
       expect(platform.log.entries("control").length).toBe(0);
     });
 
-    it("says may-have-run when the record is not read back", async () => {
+    it("refuses with may-have-run when the record is not read back", async () => {
       const state = startState("a");
       await clock.advance(100);
       platform.network.setMode("a", LOG_END, "reply-lost");
-      const unknown = await settle(
+      const unknown = await advanceUntilSettled(
         state.propose(createHostDrain("x", true), signal),
       );
       expect(unknown.isErr && unknown.error.verdict).toBe("may-have-run");
       expect(platform.log.entries("control").length).toBeGreaterThan(0);
     });
 
-    it("gives the decision while the log is slow", async () => {
+    it("returns the decision while the log is slow", async () => {
       const state = startState("a");
       await clock.advance(100);
       platform.log.faults.delayMs = 1500;
-      const decision = await settle(
+      const decision = await advanceUntilSettled(
         state.propose(createConfiguration("c", 0, "one"), signal),
       );
       expect(decision.isOk && decision.value.accepted).toBe(true);
     });
 
-    it("accepts one of two edits that race and refuses the other", async () => {
+    it("accepts one of two concurrent edits and refuses the other", async () => {
       const [first, second] = [startState("a"), startState("b")];
       await clock.advance(100);
       const proposals = [
         first.propose(createConfiguration("c", 0, "one"), signal),
         second.propose(createConfiguration("d", 0, "two"), signal),
       ];
-      const decisions = await settle(Promise.all(proposals));
+      const decisions = await advanceUntilSettled(Promise.all(proposals));
       const accepted = decisions.map((decision) =>
         decision.isOk && decision.value.accepted
       );
@@ -177,12 +179,12 @@
         .toEqual(second.control.createSnapshot());
     });
 
-    it("gives the first decision for a repeat with the same id", async () => {
+    it("returns the first decision for a repeat with the same id", async () => {
       const state = startState("a");
       await clock.advance(100);
       const record = createConfiguration("c", 0, "one");
-      await settle(state.propose(record, signal));
-      const repeat = await settle(state.propose(record, signal));
+      await advanceUntilSettled(state.propose(record, signal));
+      const repeat = await advanceUntilSettled(state.propose(record, signal));
       expect(repeat.isOk && repeat.value.accepted).toBe(true);
       expect(state.control.configuration.version).toBe(1);
     });
--- a/packages/node/test/state/planned-stop.test.ts
+++ b/packages/node/test/state/planned-stop.test.ts
@@ -5,7 +5,7 @@
 import { TestPermit } from "../serving/test-permit.ts";
 import { Cluster, createConfiguration, createPeerAddress } from "./cluster.ts";
 
-describe("planned stop", () => {
+describe("graceful shutdown", () => {
   let cluster: Cluster;
   let node: NodeKernel;
 
@@ -21,42 +21,48 @@
   });
   afterEach(() => cluster.stop());
 
-  /** Addresses that a node names to callers of a data centre. */
-  function collectAnswers(index: number, dataCentre: string): Set<string> {
+  /** Collects the addresses that a node returns to callers of a data centre. */
+  function collectAddresses(index: number, dataCentre: string): Set<string> {
     const lookup = cluster.nodes[index]!.find("lookup");
     const answers = Array.from({ length: 200 }, () => lookup.find(dataCentre));
     return new Set(answers.map(({ address }) => address));
   }
 
-  const PUBLIC = ["127.0.0.1:8000", "127.0.0.1:8001", "127.0.0.1:8002"];
+  const PUBLIC_ADDRESSES = [
+    "127.0.0.1:8000",
+    "127.0.0.1:8001",
+    "127.0.0.1:8002",
+  ];
 
   describe("lookup", () => {
-    it("names the nodes of the caller's data centre at every node", () => {
+    it("returns the nodes of the caller's data centre at every node", () => {
       for (const index of [0, 1, 2]) {
-        expect([...collectAnswers(index, "dc-1")].sort())
-          .toEqual([PUBLIC[0], PUBLIC[1]]);
-        expect([...collectAnswers(index, "dc-2")]).toEqual([PUBLIC[2]]);
+        expect([...collectAddresses(index, "dc-1")].sort())
+          .toEqual([PUBLIC_ADDRESSES[0], PUBLIC_ADDRESSES[1]]);
+        expect([...collectAddresses(index, "dc-2")]).toEqual([
+          PUBLIC_ADDRESSES[2],
+        ]);
       }
     });
 
-    it("gives the time for which an answer holds in ms", () => {
+    it("returns the validity of an answer in ms", () => {
       expect(node.find("lookup").find("dc-1").validMs).toBe(5000);
     });
 
-    it("leaves a stopping node out at once, at every node", async () => {
+    it("leaves out a draining node at once, at every node", async () => {
       node.find("lifecycle").drain();
-      expect([...collectAnswers(0, "dc-1")]).toEqual([PUBLIC[1]]);
+      expect([...collectAddresses(0, "dc-1")]).toEqual([PUBLIC_ADDRESSES[1]]);
       await cluster.clock.advance(10);
-      expect([...collectAnswers(1, "dc-1")]).toEqual([PUBLIC[1]]);
-      expect([...collectAnswers(2, "dc-1")]).toEqual([PUBLIC[1]]);
+      expect([...collectAddresses(1, "dc-1")]).toEqual([PUBLIC_ADDRESSES[1]]);
+      expect([...collectAddresses(2, "dc-1")]).toEqual([PUBLIC_ADDRESSES[1]]);
     });
 
-    it("leaves out a node that is silent before its connection ends", async () => {
+    it("leaves out a silent node before its connection ends", async () => {
       const address = createPeerAddress(0);
       cluster.platform.network.setModeOfEnd(address, "silent");
       await cluster.clock.advance(3100);
       expect(cluster.nodes[1]!.find("peers").list().length).toBe(2);
-      expect([...collectAnswers(1, "dc-1")]).toEqual([PUBLIC[1]]);
+      expect([...collectAddresses(1, "dc-1")]).toEqual([PUBLIC_ADDRESSES[1]]);
     });
 
     it("sends fewer callers to a node with a high load", async () => {
@@ -65,12 +71,12 @@
       const lookup = cluster.nodes[1]!.find("lookup");
       const answers = Array.from({ length: 1000 }, () => lookup.find("dc-1"));
       const count =
-        answers.filter(({ address }) => address === PUBLIC[0]).length;
+        answers.filter(({ address }) => address === PUBLIC_ADDRESSES[0]).length;
       expect(count).toBeGreaterThan(0);
       expect(count).toBeLessThan(150);
     });
 
-    it("refuses when the only node stops", async () => {
+    it("refuses when the only node drains", async () => {
       await cluster.stopNode(1);
       await cluster.stopNode(2);
       await cluster.clock.advance(100);
@@ -81,7 +87,7 @@
     });
   });
 
-  describe("course", () => {
+  describe("drain", () => {
     let inFlight: number;
     let stopped: Promise<void>;
 
@@ -90,13 +96,13 @@
       stopped = stopAsPlanned(node, () => inFlight);
     });
 
-    /** Whether the node's services run, as its peers can tell. */
+    /** Whether the node's services run, as seen by its peers. */
     function isRunning(): boolean {
       const peers = cluster.nodes[1]!.find("peers").list();
       return peers.some(({ hello }) => hello.node === "n0");
     }
 
-    it("serves on for as long as an answer may be kept", async () => {
+    it("keeps serving for as long as callers may keep a lookup answer", async () => {
       node.find("lifecycle").drain();
       const { timing } = node.find("settings");
       await cluster.clock.advance(computeServeOnMs(timing) - 100);
@@ -119,7 +125,7 @@
       expect(isRunning()).toBe(false);
     });
 
-    it("ends within the bound although a request does not", async () => {
+    it("ends within the bound although a request does not end", async () => {
       inFlight = 1;
       node.find("lifecycle").drain();
       const { "stop-bound": boundMs } = node.find("settings").timing;
@@ -130,7 +136,7 @@
       expect(isRunning()).toBe(false);
     });
 
-    it("cuts nothing and starts nothing anew on a second signal", async () => {
+    it("neither cuts requests nor restarts the drain on a second signal", async () => {
       inFlight = 1;
       node.find("lifecycle").drain();
       await cluster.clock.advance(10_000);
@@ -146,7 +152,7 @@
   });
 
   describe("with a stream in flight", () => {
-    const TOKENS = 120;
+    const TOKEN_COUNT = 120;
     const STEP_MS = 150;
 
     beforeEach(async () => {
@@ -170,19 +176,19 @@
     });
 
     it("delivers every token before the node stops", async () => {
-      let tokens = 0;
+      let deliveredTokens = 0;
       let inFlight = 1;
       const stream = node.find("streams").run({
         request: "r1",
         model: "one",
         messages: [{ role: "user", content: "hello" }],
-        maxTokens: TOKENS,
+        maxTokens: TOKEN_COUNT,
         rank: "normal",
         place: new Place(new TestPermit()),
         deadline: cluster.clock.now() + 60_000,
         sink: {
           write: (_events, count) => {
-            tokens += count;
+            deliveredTokens += count;
           },
         },
       }, new AbortController().signal).finally(() => {
@@ -190,15 +196,15 @@
       });
       const stopped = stopAsPlanned(node, () => inFlight);
       await cluster.clock.advance(1000);
-      expect(tokens).toBeGreaterThan(0);
+      expect(deliveredTokens).toBeGreaterThan(0);
       node.find("lifecycle").drain();
       await cluster.clock.advance(10_000);
-      expect(tokens).toBeLessThan(TOKENS);
+      expect(deliveredTokens).toBeLessThan(TOKEN_COUNT);
       await cluster.clock.advance(20_000);
-      const end = await stream;
-      expect(end.isOk && end.value.attempts).toBe(1);
-      expect(end.isOk && end.value.progress.next).toBe(TOKENS);
-      expect(tokens).toBe(TOKENS);
+      const outcome = await stream;
+      expect(outcome.isOk && outcome.value.attempts).toBe(1);
+      expect(outcome.isOk && outcome.value.progress.next).toBe(TOKEN_COUNT);
+      expect(deliveredTokens).toBe(TOKEN_COUNT);
       await stopped;
     });
   });
--- a/packages/node/test/state/propagation.test.ts
+++ b/packages/node/test/state/propagation.test.ts
@@ -1,11 +1,11 @@
 import { afterEach, describe, expect, it } from "vitest";
 import { Cluster, createConfiguration } from "./cluster.ts";
 
-/** An accepted change is in force everywhere within this time. */
+/** An accepted configuration must be in force at all nodes by then. */
 const TARGET_MS = 7000;
-const GIVE_UP_MS = 60_000;
+const TIMEOUT_MS = 60_000;
 
-describe("configuration in force everywhere", () => {
+describe("propagation of a configuration", () => {
   let cluster: Cluster;
   afterEach(() => cluster.stop());
 
@@ -21,49 +21,51 @@
         expect(new Set(cluster.activeVersions)).toEqual(new Set([1]));
       }
 
-      /** Publishes at node 0 and measures until every node has the version. */
-      async function publish(): Promise<number> {
+      /** Publishes at node 0; returns the ms until all nodes have the version. */
+      async function measurePublication(): Promise<number> {
         const { signal } = new AbortController();
-        const basis = cluster.nodes[0]!.find("state").control.configuration;
-        const id = `edit-${basis.version}`;
+        const previous = cluster.nodes[0]!.find("state").control.configuration;
+        const id = `edit-${previous.version}`;
         void cluster.nodes[0]!.find("state").propose(
-          createConfiguration(id, basis.version, "two"),
+          createConfiguration(id, previous.version, "two"),
           signal,
         );
         return await cluster.advanceUntil(
-          GIVE_UP_MS,
+          TIMEOUT_MS,
           () =>
-            cluster.activeVersions.every((version) => version > basis.version),
+            cluster.activeVersions.every((version) =>
+              version > previous.version
+            ),
         );
       }
 
-      it("takes effect in time while the log is well", async () => {
+      it("is in time while the log is healthy", async () => {
         await startWithConfiguration();
-        expect(await publish()).toBeLessThanOrEqual(TARGET_MS);
+        expect(await measurePublication()).toBeLessThanOrEqual(TARGET_MS);
       });
 
-      it("takes effect in time while the log is slow", async () => {
+      it("is in time while the log is slow", async () => {
         await startWithConfiguration();
         cluster.platform.log.faults.delayMs = 1000;
         await cluster.clock.advance(10_000);
-        expect(await publish()).toBeLessThanOrEqual(TARGET_MS);
+        expect(await measurePublication()).toBeLessThanOrEqual(TARGET_MS);
       });
 
-      it("takes effect in time once the log is back", async () => {
+      it("is in time once the log is reachable again", async () => {
         await startWithConfiguration();
         cluster.platform.log.faults.isDown = true;
         await cluster.clock.advance(60_000);
         cluster.platform.log.faults.isDown = false;
-        expect(await publish()).toBeLessThanOrEqual(TARGET_MS);
+        expect(await measurePublication()).toBeLessThanOrEqual(TARGET_MS);
       });
 
-      it("takes effect in time where only peers can be reached", async () => {
+      it("is in time at nodes that can reach only their peers", async () => {
         await startWithConfiguration();
         for (let index = 1; index < size; index += 2) {
           cluster.platform.network.setModeOfEnd(`n${index}`, "silent");
         }
         await cluster.clock.advance(10_000);
-        expect(await publish()).toBeLessThanOrEqual(TARGET_MS);
+        expect(await measurePublication()).toBeLessThanOrEqual(TARGET_MS);
       });
     });
   }
--- a/packages/node/test/state/recovery.test.ts
+++ b/packages/node/test/state/recovery.test.ts
@@ -3,7 +3,7 @@
 import { afterEach, beforeEach, describe, expect, it } from "vitest";
 import { Cluster, createConfiguration, createPeerAddress } from "./cluster.ts";
 
-describe("start and recovery", () => {
+describe("recovery of the control state", () => {
   let cluster: Cluster;
 
   beforeEach(async () => {
@@ -17,7 +17,7 @@
   afterEach(() => cluster.stop());
 
   describe("while the log is down", () => {
-    it("gives a node with empty memory the version of its peers", async () => {
+    it("gives a node without state the version of its peers", async () => {
       cluster.platform.log.faults.isDown = true;
       await cluster.stopNode(0);
       await cluster.startNode(0);
@@ -26,15 +26,15 @@
     });
 
     describe("when peers hold different versions", () => {
-      /** Nodes 1 and 2 miss version 3 and cannot hear of it from node 3. */
-      async function leaveNodesBehind(): Promise<void> {
+      /** Makes nodes 1 and 2 miss version 3, with no link to node 3. */
+      async function isolateStaleNodes(): Promise<void> {
         const { network, log } = cluster.platform;
-        const ahead = createPeerAddress(3);
+        const aheadAddress = createPeerAddress(3);
         for (const stale of [1, 2]) {
           const address = createPeerAddress(stale);
           network.setMode(`n${stale}`, LOG_END, "refuse");
-          network.setMode(address, ahead, "refuse");
-          network.setMode(ahead, address, "refuse");
+          network.setMode(address, aheadAddress, "refuse");
+          network.setMode(aheadAddress, address, "refuse");
           network.setMode(address, createPeerAddress(0), "refuse");
           network.setMode(createPeerAddress(0), address, "refuse");
         }
@@ -51,8 +51,8 @@
         }
       }
 
-      /** Collects every version that node 0 puts in force. */
-      async function observeVersions(): Promise<number[]> {
+      /** Collects the versions that node 0 puts in force. */
+      async function collectVersions(): Promise<number[]> {
         const seen = new Set<number>();
         await cluster.advanceUntil(10_000, () => {
           seen.add(cluster.activeVersions[0]!);
@@ -61,15 +61,15 @@
         return [...seen];
       }
 
-      it("takes the highest one and never a lower one before it", async () => {
-        await leaveNodesBehind();
+      it("adopts the highest version and never a lower one before it", async () => {
+        await isolateStaleNodes();
         await cluster.startNode(0);
-        expect(await observeVersions()).toEqual([0, 3]);
+        expect(await collectVersions()).toEqual([0, 3]);
         expect(cluster.activeVersions).toEqual([3, 3, 3, 3]);
       });
 
-      it("waits for a peer whose connection takes longer", async () => {
-        await leaveNodesBehind();
+      it("waits for a peer whose connection is slow", async () => {
+        await isolateStaleNodes();
         const transport = cluster.createTransport(0);
         const peerTransport: PeerTransport = {
           listen: (address) => transport.listen(address, () => {}),
@@ -80,11 +80,11 @@
           },
         };
         await cluster.startNode(0, { peerTransport });
-        expect(await observeVersions()).toEqual([0, 3]);
+        expect(await collectVersions()).toEqual([0, 3]);
       });
     });
 
-    it("goes on from the peers' state when the log is back", async () => {
+    it("continues from the peers' state when the log is reachable again", async () => {
       const { log } = cluster.platform;
       log.faults.isDown = true;
       await cluster.stopNode(0);
@@ -102,7 +102,7 @@
       }
     });
 
-    it("serves nothing and says so without log and peers", async () => {
+    it("has no rules and reports why without log and peers", async () => {
       cluster.platform.log.faults.isDown = true;
       await cluster.stopNode(0);
       cluster.platform.network.setModeOfEnd(createPeerAddress(0), "silent");
@@ -114,7 +114,7 @@
       });
     });
 
-    it("passes a version to nodes that the log cannot reach", async () => {
+    it("gives a new version to a node that cannot reach the log", async () => {
       const { network, log } = cluster.platform;
       network.setModeOfEnd("n3", "silent");
       await cluster.clock.advance(5000);
@@ -125,7 +125,7 @@
   });
 
   describe("while no checkpoint is retained", () => {
-    it("starts from the peers' state and follows the log", async () => {
+    it("starts from the peers' state and then follows the log", async () => {
       const { log } = cluster.platform;
       log.expire("control", 2);
       await cluster.stopNode(0);
