--- a/packages/cli/src/commands/administration-command.ts
+++ b/packages/cli/src/commands/administration-command.ts
@@ -1,5 +1,5 @@
 /**
- * What all commands share that call the administration interface.
+ * Base class and helpers of the commands that call the administration API.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import { Command, Option, UsageError } from "clipanion";
 import type { Result } from "true-myth";
 import type { z } from "zod";
-import { type CallFault, callNode } from "../connection.ts";
+import { type CallError, callNode } from "../node-call.ts";
 import { ExitCode } from "../exit-code.ts";
 
 /** Environment variable that holds the administration token. */
@@ -18,14 +18,14 @@
   refused: ExitCode.refused,
 } as const;
 
-/** Writes a fault and returns the exit code for it. */
-export function reportFault(command: Command, fault: CallFault): ExitCode {
-  command.context.stderr.write(`zinniahill: ${fault.message}\n`);
-  return EXIT_CODES[fault.kind];
+/** Prints a failed call and returns its exit code. */
+export function reportCallError(command: Command, error: CallError): ExitCode {
+  command.context.stderr.write(`zinniahill: ${error.message}\n`);
+  return EXIT_CODES[error.kind];
 }
 
-/** Reads a file that the command line names. */
-export function readNamedFile(path: string): string {
+/** Reads a file that was named on the command line. */
+export function readInputFile(path: string): string {
   try {
     return readFileSync(path, "utf8");
   } catch {
@@ -33,34 +33,34 @@
   }
 }
 
-/** Reads a whole number that the command line gives. */
-export function readCount(option: string, text: string): number {
+/** Parses the value of an option as a whole number. */
+export function parseCount(option: string, text: string): number {
   if (!/^\d+$/.test(text)) {
     throw new UsageError(`${option}: expected a whole number, found "${text}"`);
   }
   return Number(text);
 }
 
-/** A command that calls a node's administration interface. */
+/** A command that calls the administration API of a node. */
 export abstract class AdministrationCommand extends Command {
   admin = Option.String("--admin", {
     required: true,
     description: "Administration address of a node, such as 127.0.0.1:7101",
   });
 
-  /** Makes one administration call. */
-  protected call<Reply>(
+  /** Calls the administration API. */
+  protected call<ResponseBody>(
     method: "GET" | "POST",
     path: string,
-    schema: z.ZodType<Reply>,
+    schema: z.ZodType<ResponseBody>,
     body?: unknown,
-  ): Promise<Result<Reply, CallFault>> {
+  ): Promise<Result<ResponseBody, CallError>> {
     const token = this.context.env[TOKEN_VARIABLE] ?? "";
     const address = this.admin;
     return callNode({ address, token, method, path, schema, body });
   }
 
-  /** Writes one line to the standard output. */
+  /** Writes a line to standard output. */
   protected print(line: string): void {
     this.context.stdout.write(`${line}\n`);
   }
--- a/packages/cli/src/commands/check.ts
+++ b/packages/cli/src/commands/check.ts
@@ -6,21 +6,21 @@
 import { parseRules } from "@zinniahill/schema";
 import { Command, Option } from "clipanion";
 import { ExitCode } from "../exit-code.ts";
-import { readNamedFile } from "./administration-command.ts";
+import { readInputFile } from "./administration-command.ts";
 
-/** Checks a rules file; needs no node. */
+/** Checks a rules file locally, without a node. */
 export class CheckCommand extends Command {
   static override paths = [["check"]];
   static override usage = Command.Usage({
     description: "Check a rules file without publishing it.",
-    details: "Prints every fault with its line number.",
+    details: "Prints every error with its line number.",
     examples: [["Check a file", "$0 check rules.txt"]],
   });
 
   file = Option.String();
 
   override execute(): Promise<ExitCode> {
-    const exitCode = parseRules(readNamedFile(this.file)).match({
+    const exitCode = parseRules(readInputFile(this.file)).match({
       Ok: ({ lines }) => {
         this.context.stdout.write(`${this.file}: ${lines.length} rules\n`);
         return ExitCode.success;
--- a/packages/cli/src/commands/dump.ts
+++ b/packages/cli/src/commands/dump.ts
@@ -1,5 +1,5 @@
 /**
- * `zinniahill dump`: the state of a node.
+ * `zinniahill dump`: prints the state of a node.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import { ExitCode } from "../exit-code.ts";
 import {
   AdministrationCommand,
-  reportFault,
+  reportCallError,
 } from "./administration-command.ts";
 
 const INDENT = 2;
@@ -22,13 +22,13 @@
   });
 
   override async execute(): Promise<ExitCode> {
-    const reply = await this.call("GET", "/admin/dump", z.unknown());
-    return reply.match({
+    const result = await this.call("GET", "/admin/dump", z.unknown());
+    return result.match({
       Ok: (state) => {
         this.print(JSON.stringify(state, null, INDENT));
         return ExitCode.success;
       },
-      Err: (fault) => reportFault(this, fault),
+      Err: (error) => reportCallError(this, error),
     });
   }
 }
--- a/packages/cli/src/commands/show.ts
+++ b/packages/cli/src/commands/show.ts
@@ -8,7 +8,7 @@
 import { ExitCode } from "../exit-code.ts";
 import {
   AdministrationCommand,
-  reportFault,
+  reportCallError,
 } from "./administration-command.ts";
 
 /** Prints the rules in force, with their comments. */
@@ -22,18 +22,18 @@
   });
 
   override async execute(): Promise<ExitCode> {
-    const reply = await this.call(
+    const result = await this.call(
       "GET",
       "/admin/configuration",
       ConfigurationState,
     );
-    return reply.match({
+    return result.match({
       Ok: ({ version, author, text }) => {
         this.print(`# version ${version}, published by ${author || "nobody"}`);
         this.context.stdout.write(text);
         return ExitCode.success;
       },
-      Err: (fault) => reportFault(this, fault),
+      Err: (error) => reportCallError(this, error),
     });
   }
 }
--- a/packages/clients/src/host-list.ts
+++ b/packages/clients/src/host-list.ts
@@ -10,28 +10,28 @@
 import type { z } from "zod";
 import type { Fault } from "./fault.ts";
 import { callJson, type ReplyCache } from "./http.ts";
-import { Traffic } from "./traffic.ts";
+import { TrafficCounter } from "./traffic-counter.ts";
 
 /** The platform's list of live and leaving hosts. */
 export interface HostList extends Service {
-  /** Reads the list; it lags behind reality. */
+  /** Reads the list, which may be out of date. */
   list(signal?: AbortSignal): Promise<Result<readonly Host[], Fault>>;
 }
 
 const TIMEOUT_MS = 2000;
 
-/** The host list over HTTP. */
+/** HTTP client of the host list. */
 export class HostListClient implements HostList {
   #clock: Clock;
   #address: string;
   #agent: Agent;
-  /** The list is long and changes seldom, so it is read again only then. */
+  /** The list is long and changes rarely, so only a changed list is sent. */
   #cache: ReplyCache<z.infer<typeof HostListReply>> = {};
 
   constructor(
     clock: Clock,
     address: string,
-    traffic: Traffic = new Traffic(),
+    traffic: TrafficCounter = new TrafficCounter(),
   ) {
     this.#clock = clock;
     this.#address = address;
--- a/packages/clients/src/log.ts
+++ b/packages/clients/src/log.ts
@@ -9,42 +9,44 @@
 import type { Agent } from "undici";
 import type { Fault } from "./fault.ts";
 import { callJson } from "./http.ts";
-import { Traffic } from "./traffic.ts";
+import { TrafficCounter } from "./traffic-counter.ts";
 
-/** Streams that the system keeps in the log. */
-export type Stream = "control" | "calls";
+/** The streams of the log that the system uses. */
+export type LogStream = "control" | "calls";
 
-/** How a stream is read. */
-export interface ReadRange {
+/** Which entries to read, and how long to wait for them. */
+export interface LogReadOptions {
+  /** Offset of the first entry. */
   readonly from: number;
+  /** Maximum number of entries. */
   readonly max: number;
-  /** How long the log may wait for a first entry. */
+  /** How long the log may wait for the first entry (long polling). */
   readonly waitMs: number;
 }
 
 /** The platform's append-only log. */
 export interface Log extends Service {
-  /** Appends records as one entry; resolves to its offset. */
+  /** Appends records as one entry; returns the entry's offset. */
   append(
-    stream: Stream,
+    stream: LogStream,
     records: readonly unknown[],
     signal?: AbortSignal,
   ): Promise<Result<number, Fault>>;
   /** Reads entries from an offset on. */
   read(
-    stream: Stream,
-    range: ReadRange,
+    stream: LogStream,
+    options: LogReadOptions,
     signal?: AbortSignal,
   ): Promise<Result<LogPage, Fault>>;
 }
 
-/** Where the log is and how long a call may take. */
+/** Address of the log and time limit of its calls. */
 export interface LogOptions {
   readonly address: string;
   readonly timeoutMs: number;
 }
 
-/** The log over HTTP. */
+/** HTTP client of the log. */
 export class LogClient implements Log {
   #clock: Clock;
   #options: LogOptions;
@@ -53,7 +55,7 @@
   constructor(
     clock: Clock,
     options: LogOptions,
-    traffic: Traffic = new Traffic(),
+    traffic: TrafficCounter = new TrafficCounter(),
   ) {
     this.#clock = clock;
     this.#options = options;
@@ -65,7 +67,7 @@
   }
 
   async append(
-    stream: Stream,
+    stream: LogStream,
     records: readonly unknown[],
     signal?: AbortSignal,
   ): Promise<Result<number, Fault>> {
@@ -82,11 +84,11 @@
   }
 
   read(
-    stream: Stream,
-    range: ReadRange,
+    stream: LogStream,
+    options: LogReadOptions,
     signal?: AbortSignal,
   ): Promise<Result<LogPage, Fault>> {
-    const { from, max, waitMs } = range;
+    const { from, max, waitMs } = options;
     return callJson(this.#clock, this.#agent, {
       address: this.#options.address,
       method: "GET",
--- a/packages/node/src/calls/append-queue.ts
+++ b/packages/node/src/calls/append-queue.ts
@@ -1,5 +1,5 @@
 /**
- * Appends call records to the log, several in one entry.
+ * Appends call records to the log in batches.
  *
  * @module
  */
@@ -15,24 +15,24 @@
 
 const MAX_BATCH_RECORDS = 256;
 const MAX_BATCH_BYTES = 1024 * 1024;
-const RETRY_PAUSE_MS = 200;
+const RETRY_DELAY_MS = 200;
 
 /**
- * Records that wait for the log. One append is in flight at a time: the log
- * accepts several hundred appends a second over all nodes, so what arrives
- * meanwhile goes into the next one. A record is kept until it is appended or
- * read back.
+ * Queue of records to append to the log. At most one append is in flight: the
+ * log accepts several hundred appends a second from all nodes together, so
+ * records that arrive meanwhile go into the next batch. A record stays queued
+ * until its append succeeds or it is read from the log.
  */
 export class AppendQueue {
-  /** Notified when an append ends. */
-  readonly changed = new Condition();
+  /** Notified when an append succeeds or fails. */
+  readonly appendEnded = new Condition();
   #clock: Clock;
   #logger: Logger;
   #log: Log;
-  #added = new Condition();
+  #recordAdded = new Condition();
   #queued = new Map<string, QueuedRecord>();
-  #failures = 0;
-  #appends = 0;
+  #consecutiveFailures = 0;
+  #appendCount = 0;
 
   constructor(clock: Clock, logger: Logger, log: Log) {
     this.#clock = clock;
@@ -40,25 +40,24 @@
     this.#log = log;
   }
 
-  /** Records that are not known to be in the log. */
+  /** Number of records not known to be in the log. */
   get size(): number {
     return this.#queued.size;
   }
 
-  /** Appends that failed since the last one that succeeded. */
-  get failures(): number {
-    return this.#failures;
+  /** Number of failed appends since the last successful one. */
+  get consecutiveFailures(): number {
+    return this.#consecutiveFailures;
   }
 
-  /** Appends that were begun. */
-  get appends(): number {
-    return this.#appends;
+  /** Number of appends started. */
+  get appendCount(): number {
+    return this.#appendCount;
   }
 
-  /** Puts a record at the end of the queue. */
   add(record: CallRecord): void {
     this.#queued.set(record.id, { record, isSent: false });
-    this.#added.notify();
+    this.#recordAdded.notify();
   }
 
   /** Removes a record; returns whether it may be in the log. */
@@ -68,8 +67,8 @@
     return queued?.isSent ?? true;
   }
 
-  /** Notes that a record was read from the log. */
-  noteRead(id: string): void {
+  /** Removes a record that was read from the log. */
+  markRead(id: string): void {
     this.#queued.delete(id);
   }
 
@@ -83,14 +82,14 @@
     return undefined;
   }
 
-  /** Appends whatever is added, until the signal aborts. */
+  /** Appends queued records until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.#added.until(() => this.#queued.size > 0, signal);
+      await this.#recordAdded.until(() => this.#queued.size > 0, signal);
       await this.#appendBatch(signal);
-      this.changed.notify();
-      if (this.#failures > 0) {
-        await this.#clock.sleep(RETRY_PAUSE_MS, signal);
+      this.appendEnded.notify();
+      if (this.#consecutiveFailures > 0) {
+        await this.#clock.sleep(RETRY_DELAY_MS, signal);
       }
     }
   }
@@ -98,17 +97,17 @@
   async #appendBatch(signal: AbortSignal): Promise<void> {
     const batch = this.#takeBatch();
     const records = batch.map(({ record }) => record);
-    this.#appends++;
+    this.#appendCount++;
     const appended = await this.#log.append("calls", records, signal);
     if (appended.isErr) {
-      this.#failures++;
+      this.#consecutiveFailures++;
       this.#logger.warn("calls_not_appended", {
         records: records.length,
         error: appended.error.message,
       });
       return;
     }
-    this.#failures = 0;
+    this.#consecutiveFailures = 0;
     for (const { id } of records) {
       this.#queued.delete(id);
     }
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -14,13 +14,13 @@
   HostListClient,
   LogClient,
   PlainServiceClient,
-  Traffic,
+  TrafficCounter,
   WebSocketTransport,
   WeightStoreClient,
 } from "@zinniahill/clients";
 import type { Settings } from "@zinniahill/schema";
-import { Administration } from "./administration/administration.ts";
-import { Calls } from "./calls/calls.ts";
+import { AdministrationApi } from "./administration/administration-api.ts";
+import { CallExecutor } from "./calls/call-executor.ts";
 import { Departures } from "./groups/departures.ts";
 import { Evidence } from "./groups/evidence.ts";
 import { Hosts } from "./groups/hosts.ts";
@@ -56,7 +56,7 @@
   kernel.provide(
     "administration",
     [...base, "state", "evidence", "peers", "lifecycle"],
-    (services) => new Administration(services),
+    (services) => new AdministrationApi(services),
   );
   kernel.provide(
     "gauges",
@@ -115,7 +115,7 @@
   );
   provide("metrics", [], () => new Metrics(output.metrics, node.name));
   provide("lifecycle", [], () => new Lifecycle());
-  provide("traffic", [], () => new Traffic());
+  provide("traffic", [], () => new TrafficCounter());
   provide("processUsage", [], () => new ProcessUsage());
 
   provide(
@@ -222,7 +222,7 @@
   provide(
     "calls",
     [...base, "log", "plainServices"],
-    (services) => new Calls(services),
+    (services) => new CallExecutor(services),
   );
   provide(
     "lookup",
--- a/packages/node/src/services.ts
+++ b/packages/node/src/services.ts
@@ -10,12 +10,12 @@
   Log,
   PeerTransport,
   PlainServices,
-  Traffic,
+  TrafficCounter,
   WeightStore,
 } from "@zinniahill/clients";
 import type { Settings } from "@zinniahill/schema";
-import type { Administration } from "./administration/administration.ts";
-import type { Calls } from "./calls/calls.ts";
+import type { AdministrationApi } from "./administration/administration-api.ts";
+import type { CallExecutor } from "./calls/call-executor.ts";
 import type { Departures } from "./groups/departures.ts";
 import type { Evidence } from "./groups/evidence.ts";
 import type { Hosts } from "./groups/hosts.ts";
@@ -44,7 +44,7 @@
   settings: Settings;
   lifecycle: Lifecycle;
   processUsage: ProcessUsage;
-  traffic: Traffic;
+  traffic: TrafficCounter;
   log: Log;
   hostList: HostList;
   weightStore: WeightStore;
@@ -63,10 +63,10 @@
   admission: AdmissionControl;
   router: Router;
   streams: Streams;
-  calls: Calls;
+  calls: CallExecutor;
   lookup: Lookup;
   publicApi: PublicApi;
-  administration: Administration;
+  administration: AdministrationApi;
   gauges: Gauges;
 }
 
--- a/stand-ins/src/memory/platform.ts
+++ b/stand-ins/src/memory/platform.ts
@@ -172,13 +172,13 @@
             ? Result.ok(result.offset)
             : Result.err(DOWN);
         }, signal),
-      read: (stream, range, signal) =>
+      read: (stream, options, signal) =>
         this.network.call(
           node,
           LOG_END,
-          CALL_TIMEOUT_MS + range.waitMs,
+          CALL_TIMEOUT_MS + options.waitMs,
           async () => {
-            const page = await this.log.handleRead(stream, range);
+            const page = await this.log.handleRead(stream, options);
             return page === undefined ? Result.err(DOWN) : Result.ok(page);
           },
           signal,
@@ -195,7 +195,7 @@
             ? Result.err(createRefusedFault())
             : Result.ok(engine.status);
         }, signal),
-      order: (address, order, timeoutMs, signal) =>
+      sendOrder: (address, order, timeoutMs, signal) =>
         this.network.call(node, address, timeoutMs, () => {
           const engine = this.engines.get(address);
           const reason = engine?.carryOut(order);
