--- a/packages/relay/src/placement/demand.ts
+++ b/packages/relay/src/placement/demand.ts
@@ -47,7 +47,7 @@
   }
 
   /**
-   * Computes each model's share of the work. The profile's share is one of
+   * Computes each model's share of the work. The profile gives shares of
    * hosts, so the work assumed at the start is in proportion to the share
    * divided by the hosts of one group.
    */
--- a/packages/relay/src/placement/group-former.ts
+++ b/packages/relay/src/placement/group-former.ts
@@ -100,7 +100,7 @@
         group.members.map((id) => this.#join(group, id, joinSignal)),
       );
     } finally {
-      // If one member cannot join, the others are not waited for.
+      // If one member cannot join, there is no need to wait for the others.
       joinAbort.abort(new PlacementError("another member could not join"));
     }
     await this.open(group, startTimes, signal);
--- a/packages/relay/src/placement/holder-elector.ts
+++ b/packages/relay/src/placement/holder-elector.ts
@@ -67,7 +67,7 @@
   #memberId: string;
   #lifecycle: Lifecycle;
   #mesh: Mesh;
-  #intake: CapacityMonitor;
+  #capacityMonitor: CapacityMonitor;
   #isMember = false;
   /** Whether this node may become holder; false while the store is silent. */
   #isCandidate = false;
@@ -89,7 +89,7 @@
     this.#election = kernel.find("seat");
     this.#lifecycle = kernel.find("lifecycle");
     this.#mesh = kernel.find("mesh");
-    this.#intake = kernel.find("intake");
+    this.#capacityMonitor = kernel.find("intake");
     this.#startedAt = this.#clock.now();
     this.#holderSeenAt = this.#startedAt;
     this.#feeds = kernel.find("feeds");
@@ -208,14 +208,14 @@
     return now >= this.#joinAt;
   }
 
-  /** Whether every announced node has said whether it holds placement. */
+  /** Whether every announced node has reported whether it holds placement. */
   #hasHeardAll(peers: readonly Peer[]): boolean {
     return this.#feeds.isReachable("nodes") &&
       peers.length + 1 >= this.#mesh.countNodes();
   }
 
   #isSlower(peers: readonly Peer[]): boolean {
-    const { capacity } = this.#intake;
+    const { capacity } = this.#capacityMonitor;
     return peers.length === 0
       ? capacity < MIN_CORE_SHARE
       : peers.some((peer) => capacity < peer.capacity * MIN_RELATIVE_CAPACITY);
@@ -230,7 +230,7 @@
     await this.#clock.sleep(pauseMs, signal);
   }
 
-  /** Tells peers at once that they need not join as well. */
+  /** Informs peers immediately that they need not join as well. */
   #announceJoin(): void {
     if (!this.#isMember) {
       this.#isMember = true;
@@ -300,7 +300,7 @@
   }
 }
 
-/** Whether a peer holds placement; a silent holder loses it after one term. */
+/** Whether a peer holds placement; it ends after one term without a message. */
 function isLiveHolder({ holdsPlacement, silentMs }: Peer): boolean {
   return holdsPlacement && silentMs < MEMBERSHIP_TERM_MS;
 }
--- a/packages/relay/src/placement/lead-release.ts
+++ b/packages/relay/src/placement/lead-release.ts
@@ -201,10 +201,10 @@
 }
 
 /**
- * Combines the outcomes of all attempts; `left` goes before `present`. A lead
- * is absent only if all connected nodes have tried and they are more than half
- * of all known nodes: a lead that is disconnected from some nodes may be
- * reached by another.
+ * Combines the outcomes of all attempts; `left` takes precedence over
+ * `present`. A lead is absent only if all connected nodes have tried and they
+ * are more than half of all known nodes: a lead that is disconnected from some
+ * nodes may be reached by another.
  */
 export function combineOutcomes(
   { askedNodes, attempts }: PendingRelease,
--- a/packages/relay/src/placement/plan.ts
+++ b/packages/relay/src/placement/plan.ts
@@ -24,7 +24,7 @@
   readonly members: readonly string[];
   /** Members that must load weights from the weight store. */
   readonly membersToLoad: ReadonlySet<string>;
-  /** Number of earlier groups of the model, whose loads go first. */
+  /** Number of earlier groups of the model, whose loads have priority. */
   readonly loadPriority: number;
   readonly fabricDomain: string;
   /** Free hosts of the fabric domain that remain. */
--- a/packages/relay/src/placement/unlisted-leads.ts
+++ b/packages/relay/src/placement/unlisted-leads.ts
@@ -18,7 +18,7 @@
 
 /**
  * Status of an unlisted lead: `gone`; `may-return` to the list; or `unknown`,
- * so that it has to be asked.
+ * so that it has to be queried.
  */
 export type LeadStatus = "gone" | "may-return" | "unknown";
 
