--- a/packages/node/src/state/catch-up-times.ts
+++ b/packages/node/src/state/catch-up-times.ts
@@ -20,8 +20,8 @@
 
   /**
    * Records a read that reached the end. A paused process may receive the reply
-   * late, and the reply shows the stream no later than the longest duration of a
-   * read after the request; the recorded time is limited to that.
+   * late. The time is therefore limited to the longest duration of a read after
+   * the request: the reply cannot show a later state of the stream.
    */
   record(sentAt: number): void {
     this.#secondLast = this.#last;
--- a/packages/node/src/state/checkpoint-search.ts
+++ b/packages/node/src/state/checkpoint-search.ts
@@ -20,23 +20,23 @@
 }
 
 /**
- * Finds the newest checkpoint in the control stream. Searches backwards, because
- * it is near the end and the retained part may be long.
+ * Finds the newest checkpoint in the control stream. Searches backwards from
+ * the end, because it is near the end and the retained part may be long.
  */
 export async function findNewestCheckpoint(
   log: Log,
   signal: AbortSignal,
 ): Promise<Result<CheckpointSearchResult, Fault>> {
-  const read = (from: number, max: number) =>
+  const readPage = (from: number, max: number) =>
     log.read("control", { from, max, waitMs: 0 }, signal);
-  const retained = await read(1, 1);
+  const retained = await readPage(1, 1);
   if (retained.isErr) {
     return Result.err(retained.error);
   }
   let { first, next: end } = retained.value;
   while (end > first) {
     const from = Math.max(first, end - MAX_PAGE_ENTRIES);
-    const page = await read(from, end - from);
+    const page = await readPage(from, end - from);
     if (page.isErr) {
       return Result.err(page.error);
     }
--- a/packages/node/src/state/checkpoint-writer.ts
+++ b/packages/node/src/state/checkpoint-writer.ts
@@ -54,7 +54,7 @@
   }
 
   /**
-   * Waits for this node's delay, so that nodes don't append at once, and appends
+   * Waits for this node's delay, so that not all nodes append at once. Appends
    * unless another node has done so meanwhile.
    */
   async #writeWhenDue(signal: AbortSignal): Promise<void> {
--- a/packages/node/src/state/control-state.ts
+++ b/packages/node/src/state/control-state.ts
@@ -289,8 +289,8 @@
   };
 
   /**
-   * Resolves a proposal from the state alone. The last lease record of a scope
-   * was accepted.
+   * Resolves a proposal from the state alone, for a record decided earlier. The
+   * last lease record of each scope counts as accepted.
    */
   #resolveFromState(id: string): void {
     const isLastLeaseRecord = [...this.#reducer.leases.values()]
--- a/packages/node/test/state/checkpoints.test.ts
+++ b/packages/node/test/state/checkpoints.test.ts
@@ -179,7 +179,7 @@
   });
 
   describe("agreement", () => {
-    /** Creates a record from small numbers, so that ids and hosts often collide. */
+    /** Creates a record from small numbers, so that records often collide. */
     function createRecord(numbers: readonly number[]): unknown {
       const [kind = 0, a = 0, b = 0, c = 0] = numbers;
       const header = { id: `id-${b}-${c}`, node: `n${a}`, scope: SCOPE };
@@ -208,7 +208,10 @@
       return records[kind];
     }
 
-    /** Records of one entry; then 0 means a checkpoint, an expiry, a new reader. */
+    /**
+     * Records of one entry, and what follows it: a checkpoint, an expiry or a new
+     * reader if the number is 0.
+     */
     const Step = fc.record({
       records: fc.array(
         fc.tuple(
@@ -276,6 +279,7 @@
   });
 
   describe("append delays", () => {
+    // Guards against all nodes appending a checkpoint at once.
     it("orders lease holders first and delays all other nodes", () => {
       const random = new SeededRandom(SEED);
       const delaysMs = Array.from(
--- a/packages/node/test/state/propagation.test.ts
+++ b/packages/node/test/state/propagation.test.ts
@@ -21,7 +21,7 @@
         expect(new Set(cluster.activeVersions)).toEqual(new Set([1]));
       }
 
-      /** Publishes at node 0; returns the ms until all nodes have the version. */
+      /** Publishes at node 0; returns the ms until all nodes have it. */
       async function measurePublication(): Promise<number> {
         const { signal } = new AbortController();
         const previous = cluster.nodes[0]!.find("state").control.configuration;
