--- a/packages/relay/src/placement/holder-elector.ts
+++ b/packages/relay/src/placement/holder-elector.ts
@@ -39,7 +39,7 @@
  * A node that has just started waits this long to hear from the nodes that it
  * knows. Connections to running nodes are open and in use within 0.3 s.
  */
-const STARTUP_LISTEN_MS = 1000;
+const STARTUP_WAIT_MS = 1000;
 /** Nodes without a holder join at random times, on average this far apart. */
 const JOIN_JITTER_MS_PER_NODE = 15;
 /** Orders end this long before the store may give placement to another node. */
@@ -196,11 +196,11 @@
     canYield: boolean,
     now: number,
   ): boolean {
-    const isListening = now - this.#startedAt < STARTUP_LISTEN_MS &&
-      !this.#hasHeardAll(peers);
+    const isWaitingForReports = now - this.#startedAt < STARTUP_WAIT_MS &&
+      !this.#hasReportsFromAll(peers);
     const isPeerJoining = canYield &&
       peers.some(({ seeksPlacement }) => seeksPlacement);
-    if (isListening || isPeerJoining) {
+    if (isWaitingForReports || isPeerJoining) {
       return false;
     }
     const maxJitterMs = JOIN_JITTER_MS_PER_NODE * this.#mesh.countNodes();
@@ -209,7 +209,7 @@
   }
 
   /** Whether every announced node has reported whether it holds placement. */
-  #hasHeardAll(peers: readonly Peer[]): boolean {
+  #hasReportsFromAll(peers: readonly Peer[]): boolean {
     return this.#feeds.isReachable("nodes") &&
       peers.length + 1 >= this.#mesh.countNodes();
   }
